--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/__init__.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of an entry that calls backend servers itself: routes, placement, sends, retries."""
+"""Routing, placement, send and retry decisions of an entry that calls backend servers directly."""
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an engine for one request, among those that may be sent to."""
+"""Choice of an engine for one request among the available engines."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
     from .routing_table import EngineTraits
 
 HOME_ADVANTAGE = 0.12
-"""Seconds of first event by which another engine must be earlier to take a session from its home:
-what is read once more elsewhere delays others there."""
+"""Seconds by which another engine's first event must be earlier to move a session away from its
+home engine: reading the shared parts again delays other requests there."""
 
 EQUAL_WITHIN = 0.03
-"""Seconds of first event within which engines count as equally good."""
+"""Difference in seconds of first event within which engines count as equal."""
 
 LEAST_FETCHED_TOKENS = 1_000
-"""Fewest tokens for which an engine fetches KV cache from another: reading them takes 20 ms, as
-long as a fetch with its way there and back may take."""
+"""Minimum number of tokens to fetch from another engine's KV cache. Reading 1,000 tokens takes
+20 ms, as long as a fetch may take including its round trip."""
 
 CROWDED_RUN = 0.002
-"""Seconds by which each request that runs on an engine makes it less wanted."""
+"""Penalty in seconds for each request that runs on an engine."""
 
 
 class EngineChoice:
-    """The choice of an engine for one request."""
+    """Compares the available engines for one request."""
 
     def __init__(
         self,
@@ -50,12 +50,12 @@
 
         Args:
             question: The request.
-            load_by_engine: The engines that may be sent to, and their loads.
-            traits: What the configuration tells of them.
-            now: The present instant.
-            stretch: How much longer reading takes than its tokens alone.
-            budget: Seconds of prefill within a pause that streams like the request's stand; None
-                where it is not bounded.
+            load_by_engine: The available engines and their loads.
+            traits: The configured properties of the engines.
+            now: The current instant.
+            stretch: Factor by which prefill takes longer than its tokens alone.
+            budget: Seconds of prefill within a pause that streams like the request's tolerate; None
+                if not limited.
         """
         self.question = question
         self._traits = traits
@@ -71,7 +71,7 @@
         self._source = self._fetch_source(list(load_by_engine))
 
     def best(self, engines: Sequence[BackendServer], *, at_home: bool) -> Placed | NoRoom:
-        """Return the engine with the earliest first event, near enough the session's home."""
+        """Return the engine with the earliest first event, with preference for the home engine."""
         prompt = self.question.prompt
         fitting = [each for each in engines if self._load(each).fits(prompt, self.question.urgency)]
         if not fitting:
@@ -88,10 +88,10 @@
         return Placed(best, self.reading(best), after)
 
     def within_budget(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
-        """Return the engines on which streams like this one get their events in time.
+        """Return the engines whose prefill leaves streams like this one on time.
 
-        An engine that prefills without a pause makes one token a chunk: every event of every stream
-        there is late, and long answers end past their deadline.
+        An engine that prefills continuously generates one token per prefill chunk: every event
+        of every stream on it is late, and long answers miss their deadline.
         """
         budget, span = self._budget, self.question.pause_target
         if budget is None or span is None:
@@ -108,17 +108,17 @@
         )
 
     def quiet(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
-        """Return the engines whose streams the prompt pauses no longer than they stand.
+        """Return the engines that can read the prompt without exceeding the reading allowance.
 
-        Prompts that arrive together are read in one go: they are sent to an engine one after
-        another, as it has read what it was sent, while the first event's target leaves time.
+        An engine reads prompts that arrive together in one go. They are therefore sent one after
+        another, as the engine finishes what it was sent, while the latency target leaves time.
         """
         return [each for each in engines if self._is_quiet(each)]
 
     def _is_quiet(self, engine: BackendServer) -> bool:
-        """Return whether an engine may read the prompt in one go with what it reads already.
+        """Return whether the prompt and the pending prefill fit into the reading allowance.
 
-        A short prompt that is alone always may.
+        A short prompt always fits on an engine without pending prefill.
         """
         load = self._load(engine)
         going_on = load.reading_within(self.question.shortest_pause or 0.0, self._now)
@@ -129,7 +129,7 @@
         )
 
     def reading(self, engine: BackendServer) -> PromptReading:
-        """Return how an engine would come by the prompt."""
+        """Return how an engine would obtain the prompt, by reading and by fetching."""
         tokens, kept = self.question.prompt.prompt_tokens, self._kept_by_id[engine.id]
         alone = PromptReading(max(1, tokens - kept))
         if self._source is None:
@@ -141,7 +141,10 @@
         return PromptReading(max(1, tokens - kept_there), self._source, seconds)
 
     def _fetch_source(self, engines: Sequence[BackendServer]) -> BackendServer | None:
-        """Return the engine that has read most of the prompt; every entry's same one of several."""
+        """Return the engine that has read most of the prompt.
+
+        Ties are broken in the same way in every entry.
+        """
         most = max(self._fetchable_by_id.values(), default=0)
         if most < LEAST_FETCHED_TOKENS:
             return None
@@ -149,15 +152,18 @@
         return min(sources, key=lambda each: rank(self.question.prompt.session, each.id))
 
     def _home(self, engines: Sequence[BackendServer]) -> BackendServer:
-        """Return the engine that keeps the session; where none does, every entry's same one."""
+        """Return the engine that caches most of the session's parts.
+
+        Ties, also when no engine caches any, are broken in the same way in every entry.
+        """
         most = max(self._kept_by_id[each.id] for each in engines)
         keepers = [each for each in engines if self._kept_by_id[each.id] == most]
         return min(keepers, key=lambda each: rank(self.question.prompt.session, each.id))
 
     def _preference(self, engine: BackendServer, *, at_home: bool) -> tuple[bool, int]:
-        """Return what decides among equals: the zone, where no session is to be kept; the session.
+        """Return the sort key among equal engines: zone (if not at home), then session.
 
-        Bytes between availability zones are paid for.
+        Traffic between availability zones is billed.
         """
         elsewhere = not at_home and engine.zone != self.question.zone
         return elsewhere, rank(self.question.prompt.session, engine.id)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/admission_queue.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/admission_queue.py
@@ -1,4 +1,4 @@
-"""Requests of one service that wait for an engine: who is placed, who waits on, who is refused."""
+"""Queue of requests that wait for an engine of one service: placement, waiting and refusal."""
 
 from __future__ import annotations
 
@@ -35,32 +35,33 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A request that wants an engine."""
+    """A request that waits for an engine."""
 
     ticket: str
-    """Unique in this entry, also where two callers send one request id."""
+    """Unique within this entry, even if two callers send the same request id."""
     request_id: str
     prompt: Prompt
     waiter: Waiter
     avoid: frozenset[str] = frozenset()
-    """Backend servers that have failed it."""
+    """Backend servers that have already failed the request."""
     shortest_pause: float | None = None
-    """Shortest pause target in seconds of the streams on the service's engines, where declared."""
+    """Shortest pause target in seconds of the streams on the service's engines; None if not
+    configured."""
     zone: str = ""
-    """Availability zone of the entry that it came to."""
+    """Availability zone of the entry that received the request."""
     pause_target: float | None = None
-    """Longest pause in seconds between its own events for which it is on time, where declared."""
+    """Maximum pause in seconds between the request's own events; None if not configured."""
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The engine that a request is sent to; its load counts the request from now on."""
+    """The engine that a request is sent to; its load includes the request from now on."""
 
     request: WaitingRequest
     backend: BackendServer
     reading: PromptReading
     backlog: float
-    """Seconds of reading that were ahead of the request."""
+    """Seconds of prefill that were ahead of the request."""
     running: int
     """Requests on the engine before this one."""
     first_event_after: float
@@ -68,17 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A request that is told to come back, or that nobody can serve."""
+    """A request that is refused, with the time after which its caller should retry."""
 
     request: WaitingRequest
     retry_after: timedelta | None
     no_engine: bool
-    """Whether the service has no engine at all, rather than too much work."""
+    """Whether the service has no engine at all, as opposed to being overloaded."""
     waiting: int
 
 
 class AdmissionQueue:
-    """The queue before the engines of one service."""
+    """The queue in front of the engines of one service."""
 
     def __init__(
         self, service: str, placement: Placement, limits: RateLimits | None = None
@@ -89,7 +90,7 @@
         self._share = 1.0
         self._waiting: dict[str, WaitingRequest] = {}
         self._unread_by_ticket: dict[str, int] = {}
-        """Fewest prompt tokens that any engine had to read when a request came."""
+        """Minimum prompt tokens that any engine had to read when the request arrived."""
         self._earliest_by_urgency: dict[int, float] = {}
         self._least_planned_by_urgency: dict[int, LeastPlanned] = {}
 
@@ -97,22 +98,22 @@
         return len(self._waiting)
 
     def waiting_by_urgency(self) -> Counter[int]:
-        """Return how many requests of each rank wait."""
+        """Return the number of waiting requests of each urgency."""
         return Counter(each.waiter.urgency for each in self._waiting.values())
 
     def enter(self, request: WaitingRequest, now: Instant) -> None:
-        """Put a request into the queue."""
+        """Add a request to the queue."""
         unread = self._placement.arrived(self._question(request, now), now)
         self._unread_by_ticket[request.ticket] = unread
         self._waiting[request.ticket] = request
 
     def leave(self, ticket: str) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         self._waiting.pop(ticket, None)
         self._unread_by_ticket.pop(ticket, None)
 
     def is_first(self, ticket: str) -> bool:
-        """Return whether a request waits for nobody: all that are as urgent have been placed."""
+        """Return whether no other waiting request is at least as urgent."""
         urgency = self._waiting[ticket].waiter.urgency
         return not any(
             each.waiter.urgency <= urgency for key, each in self._waiting.items() if key != ticket
@@ -126,17 +127,17 @@
         only: str | None = None,
         share: float = 1.0,
     ) -> list[Granted | Rejected]:
-        """Decide on every queued request, in the order of the queue.
+        """Decide on the waiting requests, in queue order.
 
         Args:
-            traits: What the configuration tells of the engines; None where it has none.
-            engines_for: Returns the engines that a request may go to.
-            now: The present instant.
-            only: Ticket of the only request to decide on, where there is one.
-            share: Part of the engines' rate limits that this entry may use.
+            traits: The configured properties of the engines; None if not configured.
+            engines_for: Returns the engines that a request may use.
+            now: The current instant.
+            only: Ticket of the only request to decide on; None for all.
+            share: Fraction of the engines' rate limits that this entry may use.
 
         Returns:
-            What was decided; everyone else waits on.
+            The decisions; all other requests keep waiting.
         """
         considered = self._waiting.values() if only is None else (self._waiting[only],)
         ordered = sorted(considered, key=lambda each: queue_order(each.waiter, now))
@@ -181,9 +182,9 @@
         traits: EngineTraits,
         now: Instant,
     ) -> bool:
-        """Return whether no engine can take a request now, without asking each for its prompt.
+        """Return whether no engine can take a request now, without checking each engine's cache.
 
-        In an overload hundreds wait, and nearly none of them can be placed in a given pass.
+        In an overload hundreds of requests wait, and a single pass can place only few of them.
         """
         earliest = self._earliest_by_urgency.get(question.urgency)
         if earliest is None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_list.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_list.py
@@ -1,4 +1,4 @@
-"""The backend servers that may be sent to, as the platform's list told them last."""
+"""The backend servers that requests may be sent to, from the platform's latest list."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendServer:
-    """A backend server as it announced itself."""
+    """A backend server as registered in the list."""
 
     id: str
     service: str
     address: str
-    """IP number and port."""
+    """IP address and port."""
     zone: str
     slots: int
     leaving: bool = False
 
 
 class BackendList:
-    """Backend servers by id, and by service those that take new work.
+    """Backend servers by id, and the available ones by service.
 
     Example:
         >>> backends = BackendList()
@@ -44,11 +44,11 @@
 
     @property
     def by_id(self) -> Mapping[str, BackendServer]:
-        """Every backend server on the list."""
+        """All listed backend servers."""
         return self._by_id
 
     def ready(self, service: str) -> tuple[BackendServer, ...]:
-        """Return the backend servers of a service that take new work, in the order of their ids."""
+        """Return the servers of a service that accept new requests, ordered by id."""
         found = self._ready_by_service.get(service)
         if found is None:
             members = (each for each in self._by_id.values() if each.service == service)
@@ -58,28 +58,29 @@
         return found
 
     def put(self, backend: BackendServer) -> None:
-        """Add a backend server or take over its changed entry."""
+        """Add a backend server or replace its registration."""
         self._missing_until_by_id.pop(backend.id, None)
         self._by_id[backend.id] = backend
         self._ready_by_service.clear()
 
     def remove(self, backend_id: str) -> None:
-        """Forget a backend server."""
+        """Remove a backend server."""
         self._missing_until_by_id.pop(backend_id, None)
         self._by_id.pop(backend_id, None)
         self._ready_by_service.clear()
 
     def mark_missing(self, backend_id: str, until: Instant) -> None:
-        """Note that a server is missing from the list after an outage of the store.
+        """Record that a server is missing from the list after an outage of the store.
 
-        Its entry may have lapsed unheard while it is alive. Dropping it at once could empty a
-        service, so it keeps its place until the instant given, unless its entry comes back.
+        Its registration may have expired during the outage while the server is alive. Removing
+        it at once could leave a service without servers, so it stays until the given instant
+        unless it is registered again.
         """
         if backend_id in self._by_id:
             self._missing_until_by_id.setdefault(backend_id, until)
 
     def drop_missing(self, now: Instant) -> tuple[str, ...]:
-        """Forget the servers that are still missing when their time is over; return their ids."""
+        """Remove servers that are still missing at their deadline and return their ids."""
         dropped = tuple(key for key, until in self._missing_until_by_id.items() if until <= now)
         for backend_id in dropped:
             self.remove(backend_id)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_trust.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_trust.py
@@ -1,4 +1,4 @@
-"""Which backend servers are passed over for a while because calls to them failed of late."""
+"""Temporary exclusion of backend servers whose recent calls failed."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     from .backend_list import BackendServer
 
 FAILURE_WEIGHT = 0.25
-"""Part of the newest outcome in the failure rate: about the last six calls count."""
+"""Weight of the newest outcome in the failure rate: about the last six calls count."""
 
 DOUBTFUL_RATE = 0.4
-"""Failure rate from which a backend server is passed over; two failures in a row reach it. Plain
-services fail up to one lookup in seven when they are well."""
+"""Failure rate from which a backend server is excluded. Two failures in a row reach it. Healthy
+plain services fail up to one lookup in seven."""
 
 FIRST_REST = 1.0
-"""Seconds for which a doubtful backend server is passed over at first; each further failure
-doubles them."""
+"""Duration of the first exclusion in seconds. It doubles with each further failure."""
 
 LONGEST_REST = 8.0
-"""Longest such time in seconds: one that has recovered is found again within it."""
+"""Maximum duration of an exclusion in seconds: a server that has recovered is used again within
+it."""
 
 LARGEST_RESTING_SHARE = 0.5
-"""Part of a service that may rest at one time; beyond that, failing is the service's own state, and
-the rest would only pile the load on what is left."""
+"""Largest fraction of a service that may be excluded at a time. Beyond it the service as a whole
+is failing, and exclusion would only move the load to the remaining servers."""
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
 
 
 class BackendTrust:
-    """Failure rates of backend servers, as calls to them showed.
+    """Failure rates of backend servers, measured from calls to them.
 
     Example:
         >>> trust = BackendTrust()
@@ -55,7 +55,7 @@
         self._by_id: dict[str, _Record] = {}
 
     def succeeded(self, backend_id: str) -> None:
-        """Count a call that brought the backend server's answer."""
+        """Record a call that the backend server answered."""
         record = self._by_id.get(backend_id)
         if record is None:
             return
@@ -63,7 +63,7 @@
         record.rest = max(FIRST_REST, record.rest / 2)
 
     def failed(self, backend_id: str, now: Instant) -> bool:
-        """Count a call that failed; return whether the backend server rests from now on."""
+        """Record a failed call and return whether the backend server is excluded from now on."""
         record = self._by_id.setdefault(backend_id, _Record())
         record.failure_rate += FAILURE_WEIGHT * (1 - record.failure_rate)
         if record.failure_rate < DOUBTFUL_RATE or now < record.resting_until:
@@ -73,17 +73,17 @@
         return True
 
     def is_resting(self, backend_id: str, now: Instant) -> bool:
-        """Return whether a backend server is to be passed over."""
+        """Return whether a backend server is currently excluded."""
         record = self._by_id.get(backend_id)
         return record is not None and now < record.resting_until
 
     def trusted(self, backends: Sequence[BackendServer], now: Instant) -> Sequence[BackendServer]:
-        """Return the backend servers to choose from: all of them where too many rest."""
+        """Return the servers that are not excluded, or all if too many are excluded."""
         trusted = [each for each in backends if not self.is_resting(each.id, now)]
         if len(trusted) < (1 - LARGEST_RESTING_SHARE) * len(backends):
             return backends
         return trusted
 
     def forget(self, backend_id: str) -> None:
-        """Forget a backend server that is gone or has restarted."""
+        """Remove a backend server that is gone or has restarted."""
         self._by_id.pop(backend_id, None)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/engine_load.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/engine_load.py
@@ -1,4 +1,4 @@
-"""What an entry believes of one engine: what it has yet to read, what runs, what it keeps."""
+"""Estimated state of one engine: pending prefill, running requests and cached prompt parts."""
 
 from __future__ import annotations
 
@@ -14,42 +14,44 @@
 from .unread_prompts import UnreadPrompts
 
 INITIAL_TOKENS_PER_SECOND = 40_000.0
-"""Prompt tokens read a second before anything is learned; rather too few than too many."""
+"""Prefill rate in tokens per second before anything is learned; a conservative value."""
 
 FIRST_EVENT_OVERHEAD = 0.035
 """Seconds from a send to the first event of a short prompt on an idle engine, network included."""
 
 LEARNING_PROMPT_TOKENS = 1_500
-"""Shortest unread prompt that teaches the reading rate: below it the overhead hides the rate."""
+"""Minimum unread tokens of a prompt from which the prefill rate is learned: in shorter prompts
+the overhead dominates."""
 
 LEARNING_GAIN = 0.15
-"""Part of a new measurement that enters the learned rate."""
+"""Weight of a new measurement in the learned rate."""
 
 RATE_BOUNDS = (4_000.0, 200_000.0)
-"""Prompt tokens a second between which the learned rate stays; a stalled engine is the business of
-its health, not of its rate."""
+"""Minimum and maximum learned rate in tokens per second. A stalled engine is handled by its
+health, not by its rate."""
 
 RESERVED_PER_RANK = 1 / 48
-"""Part of an engine that requests leave free for each rank that is more urgent than theirs."""
+"""Fraction of an engine that a request leaves free for each rank that is more urgent than its
+own."""
 
 MOST_RESERVED = 0.125
-"""Largest part of an engine that requests of any rank leave free."""
+"""Maximum fraction of an engine that requests of any rank leave free."""
 
 SENDS_KEPT = 64
-"""Latest sends that are looked at for what is read within one pause."""
+"""Number of recent sends kept to compute the prefill within one pause."""
 
 CACHE_PART = 0.8
-"""Part of an engine's memory that is believed to hold shared parts beside what runs."""
+"""Fraction of an engine's memory assumed to hold shared parts besides running requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromptReading:
-    """How one engine would come by a prompt."""
+    """How one engine would obtain a prompt."""
 
     unread_tokens: int
     """Tokens that it has to read."""
     fetch_from: BackendServer | None = None
-    """The engine that it fetches what it lacks from."""
+    """The engine from which it fetches missing parts."""
     fetch_seconds: float = 0.0
 
 
@@ -63,27 +65,26 @@
     sent_at: Instant
     urgency: int
     reading_seconds: float
-    """Seconds in which the engine should read its prompt."""
+    """Estimated prefill time of its prompt."""
     predicted: float
-    """Seconds of reading that were ahead of its first event, its own included."""
+    """Seconds of prefill ahead of its first event, its own included."""
     queued: float
-    """Seconds of any reading that was ahead of it when it was sent."""
+    """Seconds of all prefill that was pending when it was sent."""
     is_long: bool
     fetched: bool = False
-    """Whether some of its prompt is fetched from another engine."""
+    """Whether part of its prompt is fetched from another engine."""
     read: bool = False
     exceeded: bool = False
-    """Whether its stream had a pause beyond its target."""
+    """Whether its stream had a pause longer than its target."""
 
 
 @dataclass(slots=True)
 class EngineLoad:
-    """The load of one engine as one entry knows it: a scheduler knows all that runs on it.
+    """The load of one engine as known to one entry; a scheduler knows all requests on it.
 
-    An engine reads the more urgent prompts first. What is ahead of a request is therefore the
-    reading of all prompts that are at least as urgent and have had no first event: a slow engine
-    keeps them unread for longer, and one that was believed faster than it is corrects itself with
-    each event.
+    An engine reads more urgent prompts first. The prefill ahead of a request is therefore that
+    of all prompts that are at least as urgent and have had no first event. The estimate corrects
+    itself with each event: on a slow engine, prompts stay unread for longer.
     """
 
     backend_id: str
@@ -93,20 +94,20 @@
     tokens_per_second: float = INITIAL_TOKENS_PER_SECOND
     runs_by_ticket: dict[str, RunOnEngine] = field(default_factory=dict)
     short_running: int = 0
-    """Requests with short prompts among them."""
+    """Running requests with short prompts."""
     memory_tokens: int = 0
-    """Tokens of memory that what runs takes at its end."""
+    """Tokens of memory that the running requests occupy when they end."""
     _unread: UnreadPrompts = field(default_factory=UnreadPrompts)
     _sent: deque[tuple[Instant, float]] = field(default_factory=lambda: deque(maxlen=SENDS_KEPT))
-    """Seconds of reading that were sent of late."""
+    """Recent sends with their seconds of prefill."""
     _progress_at: Instant = 0.0
-    """When the engine last ended the reading of a prompt, or began after it had none."""
+    """When the engine last finished reading a prompt, or began to read after being idle."""
 
     def __post_init__(self) -> None:
         self.cache = PartCache(int(self.traits.memory_tokens * CACHE_PART))
 
     def kept_tokens(self, prompt: Prompt) -> int:
-        """Return the tokens of a prompt that this engine should keep."""
+        """Return the tokens of a prompt that this engine has probably cached."""
         return self.cache.kept_tokens(prompt.parts)
 
     def read_tokens(self, prompt: Prompt) -> int:
@@ -114,16 +115,17 @@
         return self.cache.read_tokens(prompt.parts)
 
     def backlog(self, now: Instant, urgency: int = LEAST_URGENT_TIER) -> float:
-        """Return the seconds of reading that are ahead of a new request of some urgency."""
+        """Return the seconds of prefill ahead of a new request of some urgency."""
         ahead = self._unread.seconds(urgency)
         if ahead <= 0.0:
             return 0.0
         return max(0.0, ahead - self._begun_reading(now))
 
     def reading_within(self, span: float, now: Instant) -> float:
-        """Return the seconds of reading that fall into one span of time from now backwards.
+        """Return the seconds of prefill that fall into the same pause as a new prompt.
 
-        What has been read a moment ago and what is read next may lie in the same pause of a stream.
+        Prefill that has just finished and prefill that comes next may lie in the same pause of a
+        stream. The span before now is therefore considered as well.
         """
         since = now - span
         sent = 0.0
@@ -134,16 +136,16 @@
         return max(sent, self.backlog(now))
 
     def _begun_reading(self, now: Instant) -> float:
-        """Return the seconds that the prompt read now has taken so far, its length at most."""
+        """Return the seconds spent on the current prompt, at most the mean pending time."""
         longest = self._unread.seconds() / max(1, self._unread.prompts)
         return min(now - self._progress_at, longest)
 
     def reading_of(self, prompt: Prompt) -> PromptReading:
-        """Return how this engine comes by a prompt without the help of another."""
+        """Return how this engine obtains a prompt without fetching from another engine."""
         return PromptReading(max(1, prompt.prompt_tokens - self.kept_tokens(prompt)))
 
     def reading_seconds(self, reading: PromptReading) -> float:
-        """Return how long this engine takes until a prompt is read."""
+        """Return the seconds until this engine has read a prompt."""
         return reading.unread_tokens / self.tokens_per_second + reading.fetch_seconds
 
     def first_event_after(
@@ -153,32 +155,33 @@
         urgency: int = LEAST_URGENT_TIER,
         stretch: float = 1.0,
     ) -> float:
-        """Return the seconds after which a request sent now should have its first event.
+        """Return the predicted seconds to the first event of a request sent now.
 
         Args:
-            reading: How the engine would come by the prompt.
-            now: The present instant.
-            urgency: The request's rank.
-            stretch: How much longer reading takes than its tokens alone.
+            reading: How the engine would obtain the prompt.
+            now: The current instant.
+            urgency: The request's urgency.
+            stretch: Factor by which prefill takes longer than its tokens alone.
         """
         ahead = self.backlog(now, urgency) + self.reading_seconds(reading)
         return stretch * ahead + FIRST_EVENT_OVERHEAD
 
     @property
     def running(self) -> int:
-        """Requests that run or wait on the engine."""
+        """Number of requests that run or wait on the engine."""
         return len(self.runs_by_ticket)
 
     def has_slot(self, urgency: int) -> bool:
-        """Return whether a slot for a request of some urgency should be free.
+        """Return whether a slot for a request of some urgency is probably free.
 
-        Less urgent requests leave some to more urgent ones: an engine that is full when a more
-        urgent request comes puts another back, whose prompt is then read once more.
+        Less urgent requests leave some slots to more urgent ones. When a more urgent request
+        arrives at a full engine, the engine preempts another request and has to read its prompt
+        again.
         """
         return self.running < ceil(self.traits.slots * self._open_part(urgency))
 
     def fits(self, prompt: Prompt, urgency: int) -> bool:
-        """Return whether a slot and the memory for a request should be free."""
+        """Return whether a slot and the memory for a request are probably free."""
         if not self.has_slot(urgency):
             return False
         open_memory = self.traits.memory_tokens * self._open_part(urgency)
@@ -197,15 +200,15 @@
         *,
         is_read: bool = False,
     ) -> None:
-        """Note a request on the engine.
+        """Add a request to the engine.
 
         Args:
             ticket: The request's name on this engine.
             prompt: Its prompt.
-            reading: How the engine comes by it.
+            reading: How the engine obtains the prompt.
             now: When it was sent.
-            urgency: Its rank.
-            is_read: Whether its first event has come already.
+            urgency: Its urgency.
+            is_read: Whether its first event has already arrived.
         """
         self.short_running += not prompt.is_long
         seconds = self.reading_seconds(reading)
@@ -235,10 +238,10 @@
         )
 
     def first_event(self, ticket: str, now: Instant) -> RunOnEngine | None:
-        """Note that a request's prompt has been read, and learn from when that was.
+        """Record that a request's prompt has been read, and learn the prefill rate from it.
 
         Returns:
-            The request, where this was news.
+            The request, or None if the event was already known.
         """
         run = self.runs_by_ticket.get(ticket)
         if run is None or run.read:
@@ -251,7 +254,7 @@
         return run
 
     def end(self, ticket: str, now: Instant) -> None:
-        """Note that a request no longer runs; a prompt that was not read is taken back."""
+        """Remove a request that no longer runs; its prefill is cancelled if it was not read."""
         run = self.runs_by_ticket.pop(ticket, None)
         if run is None:
             return
@@ -265,7 +268,7 @@
         reading = now - run.sent_at - FIRST_EVENT_OVERHEAD - run.queued
         if run.unread_tokens < LEARNING_PROMPT_TOKENS or run.queued > 0.0 or reading <= 0.0:
             return
-        # What was fetched may have been gone at its source, and then was read after all.
+        # If the source had evicted the parts to be fetched, the engine read them after all.
         if run.fetched:
             return
         low, high = RATE_BOUNDS
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/feed_watch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/feed_watch.py
@@ -1,10 +1,11 @@
-"""Which entries follow the store's feeds for all others.
-
-A read of the store that waits for news brings it at once while all is well. What it does not show
-is a store that has stopped answering, or a connection that something on the way has forgotten: both
-look like no news until the wait is over. Short waits in every entry would show it, and each costs a
-call. So a few entries, the watchers, wait briefly, pass the records on and tell in their statuses
-how far they have read; the others ask the store only when they are behind that.
+"""Selection of the entries that poll the store's feeds on behalf of the fleet.
+
+A long-polling read returns new records at once while the store is healthy. It does not reveal
+that the store has stopped answering, or that a middlebox has dropped the connection: both look
+like an absence of records until the wait ends. Short waits in every entry would reveal it, but
+each read is a call with a cost. Only a few entries, the watchers, therefore use short waits.
+They relay the records and announce in their statuses how far they have read. The other entries
+ask the store only when they are behind that position.
 """
 
 from __future__ import annotations
@@ -22,60 +23,65 @@
 
 
 WATCHERS = 3
-"""Entries that follow the store: two may be lost at one moment."""
+"""Number of entries that poll the store, so that two of them may fail at the same time."""
 
 SHORT_WAIT = 1.2
-"""Seconds for which a watcher's read waits.
+"""Seconds that a watcher's long-polling read waits.
 
-With the time for an answer on top, a store's return is noticed within 2 s, and a configuration
-accepted just after it is in force within the 2 s that it may take."""
+Together with the response time, the store's return is noticed within 2 s. A configuration
+accepted just after the return is therefore in force within the required 2 s.
+"""
 
 WATCHER_SILENCE = 1.0
-"""Seconds without a word of any watcher after which an entry asks the store itself."""
+"""Seconds without a status from any watcher after which an entry reads the store itself."""
 
 TAKE_OVER_STEP = 0.005
-"""Seconds by which each entry gives way to those that come before it as watchers."""
+"""Additional delay in seconds for each entry that ranks before this one as a watcher."""
 
 LONGEST_TAKE_OVER = 0.2
-"""Most seconds by which an entry gives way."""
+"""Maximum delay in seconds before an entry takes over."""
 
 STORE_SILENCE = 2.5
-"""Seconds without an answer of the store after which an entry is no good watcher: a short wait, the
-time for an answer, and half a second."""
+"""Seconds without an answer from the store after which an entry is no longer a suitable watcher:
+a short wait, the response time and half a second."""
 
 PEER_SILENCE = 1.8
-"""Seconds without a status after which an entry is no good watcher; one comes every second."""
+"""Seconds without a status after which a peer is no longer a suitable watcher. A status is sent
+every second."""
 
 PROBE_RETRY = 0.4
-"""Longest seconds between attempts of the entries that look for the store's return for all."""
+"""Maximum seconds between retries of the entries that probe an unavailable store for all."""
 
 TURNED_AWAY_RETRY = 1.0
-"""Longest seconds between attempts while others hear the store: it turns this entry away, and will
-not sooner serve it for being asked more often. Its promises bind it again 3 s after that ends."""
+"""Maximum seconds between retries while other entries reach the store. The store rejects only
+this entry, and more frequent retries would not change that. The entry's guarantees apply again 3
+s after the rejection ends."""
 
 IDLE_RETRY = 3.0
-"""Longest seconds between attempts of the others while nobody hears the store: they are told of its
-return, and this is for the case that they are not."""
+"""Maximum seconds between retries of the other entries while no entry reaches the store. They
+are notified when it returns; this retry covers a lost notification."""
 
 AFTER_OUTAGE = 2.5
-"""Seconds after the store's return in which a removal may stem from the outage itself: entries that
-lapsed are back within about two, and half a second is for noticing the return."""
+"""Seconds after the store's return during which a removal may be an effect of the outage.
+Expired registrations are back within about two seconds; half a second is for noticing the
+return."""
 
 RETURN_SPREAD = 1.5
-"""Seconds within which all entries hear the store again once the first of them does."""
+"""Seconds within which all entries reach the store again after the first one does."""
 
 DOUBT_DISCOUNTED_FOR = 3.0
-"""Seconds after a peer's return from silence in which its doubt of removals counts for nothing."""
+"""Seconds after a peer's return from silence during which its uncertainty about removals is
+ignored."""
 
 HISTORY_INTERVAL = 0.1
-"""Seconds between two entries of the history of what peers said of the store."""
+"""Minimum seconds between two history records with the same value."""
 
 HISTORY_KEPT = 600
-"""Entries kept: half a minute with both kinds of them."""
+"""Number of history records kept: half a minute if both values occur."""
 
 BEHIND_FOR = 0.15
-"""Seconds for which an entry stays behind before it asks again: its own read's answer is most
-likely on the way."""
+"""Seconds for which an entry stays behind before it reads again: the answer to its pending read
+is probably on the way."""
 
 
 @dataclass(slots=True)
@@ -83,11 +89,11 @@
     heard_at: Instant
     hears_store: bool
     returned_at: Instant | None = None
-    """When it was last heard again after a silence."""
+    """When the peer was last heard again after a silence."""
 
 
 class FeedWatch:
-    """What an entry knows of the positions that others have reached in the store's feeds."""
+    """Tracks how far this entry and its peers have read the store's feeds."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -99,11 +105,11 @@
         self._unsure_until: Instant = 0.0
         self._regained_at: Instant | None = None
         self._history: deque[tuple[Instant, bool]] = deque(maxlen=HISTORY_KEPT)
-        """When peers said that they heard the store, or that they did not."""
+        """When peers reported that they reach the store, or that they do not."""
 
     @property
     def positions_by_feed(self) -> Mapping[str, int]:
-        """How far this entry has read."""
+        """Position up to which this entry has read each feed."""
         return self._position_by_feed
 
     @property
@@ -112,25 +118,25 @@
         return self._heard_at_by_feed
 
     def reached(self, feed: str, position: int, now: Instant) -> None:
-        """Note an answer of the store, and how far this entry has read."""
+        """Record an answer from the store and the position this entry has reached."""
         self._heard_store_at = now
         self._heard_at_by_feed[feed] = now
         self.advanced(feed, position)
 
     def advanced(self, feed: str, position: int) -> None:
-        """Note how far this entry is by records that a watcher passed on."""
+        """Record the position reached through records that a watcher relayed."""
         self._position_by_feed[feed] = max(position, self._position_by_feed.get(feed, -1))
 
     def outage_over(self, unsure_until: Instant) -> None:
-        """Note that the store is back, and until when a removal may stem from the outage."""
+        """Record that the store is back, and how long removals may be an effect of the outage."""
         self._unsure_until = max(self._unsure_until, unsure_until)
 
     def unsure_for(self, now: Instant) -> float:
-        """Return for how many seconds a removal may still stem from an outage."""
+        """Return for how many seconds a removal may still be an effect of an outage."""
         return max(0.0, self._unsure_until - now)
 
     def hears_store(self, now: Instant) -> bool:
-        """Return whether the store has answered this entry of late."""
+        """Return whether the store has answered this entry recently."""
         heard_at = self._heard_store_at
         return heard_at is not None and now - heard_at < STORE_SILENCE
 
@@ -143,10 +149,11 @@
         hears_store: bool,
         unsure_for: float = 0.0,
     ) -> None:
-        """Take in what another entry tells.
+        """Process the status of another entry.
 
-        An entry that follows watchers learns of an outage only in this way. The doubt
-        of one that has been silent of late counts for nothing: it was cut off, not the store.
+        An entry that relies on watchers learns of an outage only from statuses. The uncertainty
+        reported by an entry that was silent until recently is ignored: that entry was cut off,
+        not the store.
         """
         before = self._peers_by_name.get(peer)
         returned_at = before.returned_at if before is not None else None
@@ -154,8 +161,8 @@
             returned_at = now
         if returned_at is None or now - returned_at >= DOUBT_DISCOUNTED_FOR:
             self.outage_over(now + unsure_for)
-        # An entry that follows watchers does not hear the store; only where nobody heard it has it
-        # come back.
+        # Entries that rely on watchers regularly report that they do not reach the store. It has
+        # come back only if no other entry reached it before.
         if hears_store and before is not None and not self._peers(now, hearing=True):
             self._regained_at = now
         self._peers_by_name[peer] = _PeerNews(now, hears_store, returned_at)
@@ -166,30 +173,31 @@
                 self._told_by_feed[feed] = (position, now)
 
     def is_watcher(self, now: Instant) -> bool:
-        """Return whether this entry is to wait briefly.
+        """Return whether this entry should read with short waits.
 
-        Without three others that hear the store it is one: during an outage all of them look for
-        the store's return.
+        It is a watcher unless three other entries that reach the store rank before it. During an
+        outage every entry therefore probes for the store's return.
         """
         return self._is_among_first(self._peers(now, hearing=True))
 
     def retry_limit(self, now: Instant) -> float:
-        """Return the longest seconds until the next attempt at a store that does not answer."""
+        """Return the maximum seconds until the next attempt while the store does not answer."""
         if self._peers(now, hearing=True):
             return TURNED_AWAY_RETRY
         probes = self._is_among_first(self._peers(now, hearing=False))
         return PROBE_RETRY if probes else IDLE_RETRY
 
     def was_for_all(self, lost_at: Instant, now: Instant) -> bool:
-        """Return whether an outage that this entry saw may have been one for all.
+        """Return whether an outage that this entry observed may have affected all entries.
 
-        It was not where a peer heard the store meanwhile: the store turned this entry away. Nor
-        where no peer was heard at all: this entry was cut off. What peers say just before this
-        entry hears the store again is no sign, as they may have regained it a little earlier.
+        It did not if a peer reached the store meanwhile: the store then rejected only this
+        entry. It did not if no peer was heard at all: this entry was then cut off. Reports that
+        arrive just before this entry reaches the store again are ignored, because peers may have
+        reached it slightly earlier.
 
         Args:
             lost_at: When this entry lost the store.
-            now: The present instant, at which it answers again.
+            now: The current instant, at which the store answers again.
         """
         if now - lost_at < STORE_SILENCE + PEER_SILENCE or not self._peers_by_name:
             return True
@@ -209,11 +217,11 @@
         self._history.append((now, hears_store))
 
     def regained_since(self, since: Instant) -> bool:
-        """Return whether another entry has come to hear the store again."""
+        """Return whether another entry has reached the store again since an instant."""
         return self._regained_at is not None and self._regained_at >= since
 
     def _peers(self, now: Instant, *, hearing: bool) -> list[str]:
-        """Return the other entries that are alive, or those of them that hear the store."""
+        """Return the other live entries, or only those that reach the store."""
         return [
             name
             for name, news in self._peers_by_name.items()
@@ -228,17 +236,17 @@
         return sum(1 for name in names if rank("watch", name) < own)
 
     def is_behind(self, feed: str, now: Instant) -> bool:
-        """Return whether others have read further for longer than an answer takes."""
+        """Return whether others have been ahead in a feed for longer than an answer takes."""
         position, told_at = self._told_by_feed.get(feed, (-1, 0.0))
         return position > self._position_by_feed.get(feed, -1) and now - told_at > BEHIND_FOR
 
     def records_behind(self, feed: str) -> int:
-        """Return how many records others have read that this entry has not."""
+        """Return how many records of a feed other entries have read and this one has not."""
         position, _ = self._told_by_feed.get(feed, (-1, 0.0))
         return max(0, position - self._position_by_feed.get(feed, position))
 
     def follows(self, now: Instant) -> bool:
-        """Return whether this entry may leave the store to watchers that it hears."""
+        """Return whether this entry may rely on live watchers instead of reading the store."""
         recent = (
             now - news.heard_at < WATCHER_SILENCE
             for news in self._peers_by_name.values()
@@ -247,10 +255,10 @@
         return any(recent) and not self.is_watcher(now)
 
     def relays(self, now: Instant) -> bool:
-        """Return whether this entry passes on what it reads: the first of the watchers does."""
+        """Return whether this entry relays the records it reads: the first-ranked watcher does."""
         return self._ahead(self._peers(now, hearing=True)) == 0
 
     def take_over_delay(self, now: Instant) -> float:
-        """Return for how many seconds this entry gives way to others that could watch instead."""
+        """Return the seconds to wait so that better-ranked entries can take over first."""
         ahead = self._ahead(self._peers(now, hearing=False))
         return min(LONGEST_TAKE_OVER, TAKE_OVER_STEP * ahead)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/first_event_stretch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/first_event_stretch.py
@@ -1,30 +1,31 @@
-"""How much later than the bare reading ahead of it a request's first event comes."""
+"""Learned ratio between the actual and the predicted time to a request's first event."""
 
 from __future__ import annotations
 
 from .routing_table import LEAST_URGENT_TIER
 
 LEARNING_GAIN = 0.08
-"""Part of a new first event that enters the sums: about the last twelve count."""
+"""Weight of a new sample in the averages: about the last twelve samples count."""
 
 PRIOR = 0.3
-"""Seconds of which the sums begin as if seen with no stretch, so that the first event alone does
-not decide."""
+"""Initial value of both averages in seconds, equal to a ratio of 1, so that the first sample
+alone does not decide."""
 
 SHORTEST_PREDICTION = 0.05
-"""Seconds of reading below which the way there and back hides how an engine reads."""
+"""Predictions below this many seconds are ignored: network latency dominates them."""
 
 STRETCH_BOUNDS = (0.7, 3.0)
-"""Factors between which the stretch stays: an engine that stalls is the business of its health."""
+"""Minimum and maximum ratio. An engine that stalls is handled by its health, not by this ratio."""
 
 
 class FirstEventStretch:
-    """Learns, for each urgency, how long requests take to their first event against prediction.
+    """Learns, for each urgency, the ratio of actual to predicted time to the first event.
 
-    The bare prediction adds up what is ahead of a request when it is sent. Engines also make tokens
-    between two chunks of reading, and read more urgent prompts that come later first; so the less
-    urgent a request, the later it is. Placed by the bare figure in a burst, every one of them comes
-    a little too late, while the same engines could have had all of them on time.
+    The prediction sums the prefill that is ahead of a request when it is sent. Engines also
+    generate tokens between two prefill chunks, and they read more urgent prompts that arrive
+    later first. The less urgent a request is, the more it is delayed. Placement by the bare
+    prediction makes every such request slightly late in a burst, although the same engines could
+    serve all of them on time.
 
     Example:
         >>> stretch = FirstEventStretch()
@@ -39,17 +40,17 @@
         self._actual = [PRIOR] * (LEAST_URGENT_TIER + 1)
 
     def factor(self, urgency: int) -> float:
-        """Return by what predicted seconds of an urgency are to be multiplied."""
+        """Return the factor to apply to predicted seconds of an urgency."""
         low, high = STRETCH_BOUNDS
         return min(high, max(low, self._actual[urgency] / self._predicted[urgency]))
 
     def learn(self, urgency: int, predicted: float, actual: float) -> None:
-        """Take in a first event.
+        """Record an observed first event.
 
         Args:
-            urgency: The request's rank.
-            predicted: Seconds of reading that were ahead of it, its own included.
-            actual: Seconds that it took.
+            urgency: Urgency of the request.
+            predicted: Seconds of prefill ahead of its first event, its own included.
+            actual: Observed seconds to the first event.
         """
         if predicted < SHORTEST_PREDICTION:
             return
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/lanes.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/lanes.py
@@ -1,9 +1,9 @@
-"""Which engines take short prompts and which take long ones.
+"""Split of a service's engines into lanes for short and for long prompts.
 
-An engine reads prompts between the tokens of what runs on it: one prompt of thousands of tokens
-stops every stream there for as long as it takes to read. Short prompts with long answers (chats)
-and long prompts with short answers (drafts) therefore go to engines of their own as far as there
-are engines. The split follows the work of either kind that came of late.
+An engine reads prompts between the tokens of its running requests. A prompt of thousands of
+tokens stops every stream on the engine for as long as its prefill takes. Short prompts with long
+answers (chats) and long prompts with short answers (drafts) are therefore placed on separate
+engines where there are enough. The split follows the recent prefill work of both kinds.
 """
 
 from __future__ import annotations
@@ -22,27 +22,30 @@
     from .backend_list import BackendServer
 
 MEMORY = 8.0
-"""Seconds over which the work of either kind is forgotten: about as long as a burst."""
+"""Time constant in seconds of the exponential decay of past work: about the length of a burst."""
 
 SHORT_READING = 0.5
-"""Part of an engine's time that the reading of short prompts may take. Prompts that arrive within
-the time of one event are read in that same pause: fuller engines pass the target by chance."""
+"""Largest fraction of an engine's time that prefill of short prompts may take. Prompts that
+arrive within the time of one event are read in the same pause, so engines with a higher load
+exceed the pause target by chance."""
 
 SHORT_WEIGHT = 2.0
-"""Weight of short prompts' reading against long ones'.
+"""Weight of the prefill of short prompts relative to long ones.
 
-A chat is paused by any reading beside it, so the engines for short prompts run at half the load of
-the others."""
+Any prefill on the same engine pauses a chat, so engines for short prompts run at half the load
+of the others.
+"""
 
 SLOTS_FILLED = 1.25
-"""Part of the slots for short prompts that is meant to be filled: the rest takes what comes until
-the split has moved."""
+"""Target ratio of running short requests to slots in the short lane. The remaining capacity
+takes new requests until the split has changed."""
 
 SHORTEST_VIEW = 1.0
-"""Seconds of traffic below which a rate is not told from chance."""
+"""Minimum seconds of observation for a rate: shorter ones are dominated by chance."""
 
 SPARE = 0.25
-"""Part of an engine by which the share of short work may overshoot before one more is taken."""
+"""Fraction of an engine by which the computed share may exceed a whole number before another
+engine is added."""
 
 
 @dataclass(slots=True)
@@ -59,12 +62,12 @@
 
 
 def rank(key: str, backend_id: str) -> int:
-    """Return a backend server's place for a key: every entry computes the same."""
+    """Return the rank of a backend server for a key; it is the same in every entry."""
     return xxhash.xxh3_64_intdigest(f"{key}/{backend_id}".encode())
 
 
 class Lanes:
-    """The split of one service's engines.
+    """Computes the split of one service's engines.
 
     Example:
         >>> lanes = Lanes()
@@ -82,22 +85,22 @@
         self._long = _Work()
         self._began_at: Instant | None = None
         self.tokens_per_second = 0.0
-        """Prompt tokens that one engine reads a second; 0 while that is not known."""
+        """Prompt tokens that one engine reads per second; 0 if unknown."""
         self.short_running = 0
-        """Short requests that are on the engines."""
+        """Number of short requests on the engines."""
         self._ordered_from: tuple[BackendServer, ...] = ()
         self._ordered: Sequence[BackendServer] = ()
 
     def count(self, unread_tokens: int, *, is_long: bool, now: Instant) -> None:
-        """Count a request that was sent or wanted to be."""
+        """Add the prefill work of a request that asks for an engine."""
         self._begin(now)
         (self._long if is_long else self._short).add(unread_tokens, now)
 
     def short_engines(self, engines: int, slots: int, now: Instant) -> int:
         """Return how many engines are for short prompts; the others are for long ones.
 
-        There are as many as the share of short work asks for, as its reading needs, or as the short
-        requests that run need slots, whichever is most.
+        The number is the maximum of three: what the share of short work requires, what their
+        prefill rate requires, and the slots that running short requests need.
         """
         short = SHORT_WEIGHT * self._short.at(now)
         total = short + self._long.at(now)
@@ -110,7 +113,7 @@
         return min(engines - 1, max(1, for_work, for_slots, self._for_reading(now)))
 
     def _for_reading(self, now: Instant) -> int:
-        """Return how many engines read the short prompts in a small part of their time."""
+        """Return the engines needed to keep prefill of short prompts below SHORT_READING."""
         if not self.tokens_per_second or self._began_at is None:
             return 0
         seen_for = max(SHORTEST_VIEW, now - self._began_at)
@@ -130,7 +133,7 @@
         return ordered[:count], ordered[count:]
 
     def _in_order(self, engines: Sequence[BackendServer], service: str) -> Sequence[BackendServer]:
-        """Return the engines in the order that all entries agree on, sorted once for each list."""
+        """Return the engines in an order that is the same in every entry, cached per list."""
         known = tuple(engines)
         if known != self._ordered_from:
             self._ordered_from = known
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/peer_status.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/peer_status.py
@@ -1,4 +1,4 @@
-"""What every entry tells all others of itself: that it lives, whether it schedules, its feeds."""
+"""Status messages between entries: liveness, scheduling, duties, feed positions and rate limits."""
 
 from __future__ import annotations
 
@@ -21,35 +21,36 @@
 """Seconds between statuses while nothing changes."""
 
 WATCHER_INTERVAL = 0.4
-"""Seconds between statuses of an entry that watches the store: others rely on hearing one."""
+"""Seconds between statuses of an entry that watches the store, as other entries rely on hearing
+it."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """The state of one entry."""
+    """The status of one entry."""
 
     sender: str
     capacity: float
-    """Processor time that its VM gives it, in cores."""
+    """CPU time available to its VM, in cores."""
     uptime: float | None
-    """Seconds for which it could schedule; None while it cannot."""
+    """Seconds since the entry became able to schedule; None if it cannot."""
     hears_store: bool = False
     unsure_for: float = 0.0
-    """Seconds for which a removal from the store's lists may still stem from an outage."""
+    """Seconds for which a removal from the store's lists may still be an effect of an outage."""
     positions_by_feed: Mapping[str, int] = field(default_factory=dict)
-    """How far it has read in the store's feeds."""
+    """Position up to which the entry has read each of the store's feeds."""
     unix_time: float | None = None
-    """Its wall clock, in seconds; None where it does not say."""
+    """Its wall clock in seconds; None if not reported."""
     can_hold_duties: bool = False
-    """Whether it could perform the fleet's duties now."""
+    """Whether the entry can currently hold fleet duties."""
     offset_by_duty: Mapping[str, int] = field(default_factory=dict)
-    """Where the newest record of each duty stands that it knows of."""
+    """Log offset of the newest record that it knows for each duty."""
     limits_by_backend: Mapping[str, LimitNotice] = field(default_factory=dict)
-    """What it has observed of late of backend servers' rate limits."""
+    """Rate limits of backend servers that it has observed recently."""
 
 
 class StatusBook:
-    """Makes this entry's status and takes in those of others."""
+    """Creates this entry's status and processes those of other entries."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         self._sent_at: Instant = 0.0
 
     def schedules(self, now: Instant, *, can_schedule: bool) -> None:
-        """Note whether this entry can schedule."""
+        """Record whether this entry can schedule."""
         if not can_schedule:
             self._schedules_since = None
         elif self._schedules_since is None:
@@ -84,7 +85,7 @@
         self._choice.offer(own)
 
     def due(self, now: Instant) -> PeerStatus | None:
-        """Return the status to send, if it is time or something that others act on has changed."""
+        """Return the status to send if the interval has passed or a relevant value has changed."""
         status = self.status(now)
         sent = self._sent
         watches = status.hears_store and self._watch.is_watcher(now)
@@ -98,7 +99,7 @@
         return status
 
     def status(self, now: Instant) -> PeerStatus:
-        """Return this entry's status."""
+        """Return this entry's current status."""
         since = self._schedules_since
         return PeerStatus(
             sender=self._name,
@@ -114,7 +115,7 @@
         )
 
     def take(self, status: PeerStatus, now: Instant) -> None:
-        """Take in another entry's status."""
+        """Process the status of another entry."""
         if status.sender == self._name:
             return
         if status.uptime is None:
@@ -133,7 +134,7 @@
             self._fleet_time.hear(status.sender, status.unix_time)
 
     def _acted_on(self, status: PeerStatus | None, now: Instant) -> tuple[object, ...]:
-        """Return what others act on at once; the rest may be a second old."""
+        """Return the values that other entries react to at once; the rest may be a second old."""
         if status is None:
             return ()
         watches = self._watch.is_watcher(now)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement.py
@@ -1,4 +1,4 @@
-"""Where a request for an engine goes: the engine with the earliest first event, lane by lane."""
+"""Placement of requests on engines: the earliest predicted first event within the lane."""
 
 from __future__ import annotations
 
@@ -27,11 +27,12 @@
     from .routing_table import EngineTraits
 
 BORROW_BEYOND = 0.5
-"""Part of the latency target from which short prompts also go to engines of long ones."""
+"""Fraction of the latency target beyond which short prompts may also use engines for long
+prompts."""
 
 
 class Placement:
-    """Places requests on the engines of any number of services."""
+    """Places requests on the engines of all services."""
 
     def __init__(self) -> None:
         self.loads_by_id: dict[str, EngineLoad] = {}
@@ -40,14 +41,14 @@
         self._budgets: dict[tuple[str, int], PrefillBudget] = {}
 
     def load(self, backend: BackendServer, traits: EngineTraits) -> EngineLoad:
-        """Return the load of an engine; a new one is idle."""
+        """Return the load of an engine; a new engine is idle."""
         found = self.loads_by_id.get(backend.id)
         if found is None:
             found = self.loads_by_id[backend.id] = EngineLoad(backend.id, backend.service, traits)
         return found
 
     def short_running(self, service: str) -> int:
-        """Return how many short requests are on the engines of a service."""
+        """Return the number of short requests on the engines of a service."""
         return sum(
             load.short_running for load in self.loads_by_id.values() if load.service == service
         )
@@ -59,33 +60,33 @@
         return sum(rates) / len(rates) if rates else 0.0
 
     def forget(self, backend_id: str) -> None:
-        """Forget an engine that is gone."""
+        """Remove an engine that is gone."""
         self.loads_by_id.pop(backend_id, None)
 
     @property
     def lanes_by_service(self) -> Mapping[str, Lanes]:
-        """The split of each service's engines."""
+        """The lane split of each service's engines."""
         return self._lanes_by_service
 
     def lanes(self, service: str) -> Lanes:
-        """Return the split of a service's engines."""
+        """Return the lane split of a service's engines."""
         return self._lanes_by_service.setdefault(service, Lanes())
 
     def alone(self, service: str, prompt: Prompt, urgency: int) -> float:
-        """Return the seconds to a first event where an engine reads this whole prompt only."""
+        """Return the seconds to the first event on an idle engine without cached parts."""
         rate = self._tokens_per_second(service) or INITIAL_TOKENS_PER_SECOND
         stretch = self.stretch(service).factor(urgency)
         return stretch * prompt.prompt_tokens / rate + FIRST_EVENT_OVERHEAD
 
     def stretch(self, service: str) -> FirstEventStretch:
-        """Return how late first events come on a service's engines."""
+        """Return the learned delay of first events on a service's engines."""
         return self._stretch_by_service.setdefault(service, FirstEventStretch())
 
     def first_event(self, backend_id: str, ticket: str, now: Instant) -> RunOnEngine | None:
-        """Note that a request's prompt has been read, and learn from when that was.
+        """Record that a request's prompt has been read, and learn from the time it took.
 
         Returns:
-            The request, where this was news.
+            The request, or None if the event was already known.
         """
         load = self.loads_by_id.get(backend_id)
         run = load.first_event(ticket, now) if load is not None else None
@@ -95,7 +96,7 @@
         return run
 
     def pause_exceeded(self, backend_id: str, ticket: str, now: Instant) -> None:
-        """Note that a stream on an engine had a pause beyond its target."""
+        """Record that a stream on an engine had a pause longer than its target."""
         load = self.loads_by_id.get(backend_id)
         run = load.runs_by_ticket.get(ticket) if load is not None else None
         if load is None or run is None or run.exceeded:
@@ -105,9 +106,9 @@
         self._prefill_budget(load.service, run.urgency).exceeded(now, engines)
 
     def budget_seconds(self, question: PlacementQuestion, now: Instant) -> float | None:
-        """Return the seconds of prefill within a pause that streams like a request's stand.
+        """Return the seconds of prefill within a pause that streams like the request's tolerate.
 
-        None where prefill is not bounded.
+        Returns None if prefill is not limited.
         """
         part = self._prefill_budget(question.service, question.urgency).part(now)
         if part is None or question.pause_target is None:
@@ -118,13 +119,13 @@
         return self._budgets.setdefault((service, urgency), PrefillBudget())
 
     def arrived(self, question: PlacementQuestion, now: Instant) -> int:
-        """Count a request's work for the split of the engines: what it leaves an engine to read.
+        """Count the prefill that a request leaves to an engine as work for the lane split.
 
-        Shared parts that an engine keeps are no work. Counted, they would keep engines for long
-        prompts that have little to read, and short ones would be crowded on the others.
+        Cached shared parts do not count. If they did, engines would be reserved for long prompts
+        with little to read, and short prompts would be crowded on the remaining engines.
 
         Returns:
-            Fewest prompt tokens that any engine has to read.
+            Minimum number of prompt tokens that any engine has to read.
         """
         prompt = question.prompt
         loads = [each for each in self.loads_by_id.values() if each.service == question.service]
@@ -140,7 +141,7 @@
         traits: EngineTraits,
         now: Instant,
     ) -> LeastPlanned:
-        """Return the least prefill that is planned on any engine of either lane."""
+        """Return the least pending prefill of any engine in each lane."""
         short, long = self._split(question.service, engines, traits, now)
         spans = (question.shortest_pause or 0.0, question.pause_target or 0.0)
         least = [
@@ -165,13 +166,13 @@
     def earliest_first_event(
         self, engines: Sequence[BackendServer], traits: EngineTraits, urgency: int, now: Instant
     ) -> float:
-        """Return a bound below which no engine makes a first event; infinite where all are full.
+        """Return a lower bound on the first event of all engines; infinite if none has a slot.
 
         Args:
-            engines: Engines that may be sent to, all of one service.
-            traits: What the configuration tells of them.
-            urgency: Rank of the request.
-            now: The present instant.
+            engines: Available engines, all of one service.
+            traits: The configured properties of the engines.
+            urgency: Urgency of the request.
+            now: The current instant.
         """
         loads = [self.load(each, traits) for each in engines]
         backlogs = [each.backlog(now, urgency) for each in loads if each.has_slot(urgency)]
@@ -191,9 +192,9 @@
 
         Args:
             question: The request.
-            engines: Engines that may be sent to.
-            traits: What the configuration tells of them.
-            now: The present instant.
+            engines: Available engines.
+            traits: The configured properties of the engines.
+            now: The current instant.
         """
         short, long = self._split(question.service, engines, traits, now)
         choice = EngineChoice(
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement_question.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement_question.py
@@ -1,4 +1,4 @@
-"""What is asked of placement, and what it answers."""
+"""Input and results of placement."""
 
 from __future__ import annotations
 
@@ -9,38 +9,40 @@
 from .prompt_parts import Prompt
 
 READING_PART = 0.5
-"""Part of the shortest pause target that may be read in one go beside the streams that have it: the
-rest of the pause is the tokens of their event, and what another entry sends meanwhile."""
+"""Fraction of the shortest pause target that may be spent on prefill in one go next to the
+streams with that target. The rest of the pause is for the tokens of their event and for prompts
+that another entry sends meanwhile."""
 
 READING_ALLOWANCE = 0.1
-"""Seconds of reading in one go where no pause target is declared."""
+"""Seconds of prefill in one go if no pause target is configured."""
 
 LARGE_PROMPT_PART = 0.5
-"""Part of the budget that one prompt is counted with at most."""
+"""Maximum fraction of the budget that a single prompt is counted with."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementQuestion:
-    """A request that wants an engine."""
+    """A request that needs an engine."""
 
     service: str
     prompt: Prompt
     latency_target: float
-    """Seconds from now in which the first event is on time; may be negative."""
+    """Seconds from now within which the first event is on time; may be negative."""
     urgency: int = 0
-    """Rank among the requests that engines run; 0 is the most urgent."""
+    """Rank among the requests on the engines; 0 is the most urgent."""
     shortest_pause: float | None = None
-    """Shortest pause target in seconds of the streams on the service's engines, where declared."""
+    """Shortest pause target in seconds of the streams on the service's engines; None if not
+    configured."""
     may_wait: bool = False
-    """Whether it is early enough to wait for an engine that reads nothing else."""
+    """Whether the request is early enough to wait for an engine without pending prefill."""
     zone: str = ""
-    """Availability zone of the entry that it came to; among equal engines one there goes first."""
+    """Availability zone of the entry that received the request; preferred among equal engines."""
     pause_target: float | None = None
-    """Longest pause in seconds between its own events for which it is on time, where declared."""
+    """Maximum pause in seconds between the request's own events; None if not configured."""
 
     @property
     def reading_allowance(self) -> float:
-        """Seconds of reading in one go that the most sensitive streams stand."""
+        """Seconds of prefill in one go that the most sensitive streams tolerate."""
         if self.shortest_pause is None:
             return READING_ALLOWANCE
         return READING_PART * self.shortest_pause
@@ -48,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The engine to send to."""
+    """The chosen engine."""
 
     backend: BackendServer
     reading: PromptReading
@@ -58,23 +60,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastPlanned:
-    """The least prefill that is planned on any engine: a bound that costs little to ask."""
+    """The least pending prefill of any engine, as an inexpensive bound for placement."""
 
     beside_sensitive: float
     """Seconds within the shortest pause target, on engines for short prompts."""
     beside_tolerant: float
     """Seconds within the request's own pause target, on engines for long prompts."""
     tokens_per_second: float
-    """Reading rate of the fastest engine."""
+    """Prefill rate of the fastest engine."""
     budget: float | None
-    """Seconds of prefill within the request's own pause target; None where it is not bounded."""
+    """Seconds of prefill within the request's own pause target; None if not limited."""
 
     def may_take(self, question: PlacementQuestion, unread: int) -> bool:
-        """Return whether some engine might take a long prompt within what its streams stand.
+        """Return whether an engine might take a long prompt within the limits of its streams.
 
         Args:
             question: The request.
-            unread: Fewest prompt tokens that any engine has to read.
+            unread: Minimum number of prompt tokens that any engine has to read.
         """
         seconds = unread / self.tokens_per_second
         if self.beside_sensitive + seconds <= question.reading_allowance:
@@ -86,15 +88,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NoRoom:
-    """No engine takes the request in time now."""
+    """No engine can take the request in time now."""
 
     first_event_after: float | None
-    """Predicted seconds to the first event on the best engine; None where there is none at all."""
+    """Predicted seconds to the first event on the best engine; None if no engine is available."""
 
 
 def counted_seconds(seconds: float, budget: float) -> float:
-    """Return what a prompt takes of a budget.
+    """Return the seconds of a budget that a prompt is counted with.
 
-    One that takes longer than the budget alone would only ever find an idle engine.
+    The value is capped: a prompt that exceeds the budget by itself would otherwise only ever fit
+    an idle engine.
     """
     return min(seconds, LARGE_PROMPT_PART * budget)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/prefill_budget.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/prefill_budget.py
@@ -1,8 +1,9 @@
-"""How much prefill an engine may do beside streams before their events are late.
+"""Limit on the prefill that an engine may do next to running streams.
 
-An engine that prefills without a pause makes one token a chunk. Whether that is late hangs on its
-chunks, the tokens of an event and the streams' pause target, of which the configuration tells only
-the last two; so it is learned from streams whose pauses exceed their target.
+An engine that prefills continuously generates one token per prefill chunk. Whether its streams
+are then late depends on the chunk size, the tokens per event and the pause target. The
+configuration contains only the last two, so the limit is learned from streams whose pauses
+exceed their target.
 """
 
 from __future__ import annotations
@@ -13,20 +14,21 @@
     from ragwortwing_policy.clock import Instant
 
 LEAST_PART = 0.65
-"""Least part of a pause target that is left to prefill, however many streams are late."""
+"""Minimum fraction of a pause target that is available for prefill, however many streams are
+late."""
 
 UNBOUNDED_PART = 1.2
-"""Part from which on prefill is not bounded: it fills every pause as it is."""
+"""Fraction from which prefill is not limited: it then fills every pause anyway."""
 
 PART_PER_EXCEEDED = 0.4
-"""Part by which the budget shrinks when one stream on each engine is late."""
+"""Reduction of the fraction when one stream on each engine is late."""
 
 PART_PER_SECOND = 0.02
-"""Part by which it grows back in a second."""
+"""Recovery of the fraction per second."""
 
 
 class PrefillBudget:
-    """The part of their pause target that streams of one rank leave to prefill.
+    """Fraction of the pause target that is available for prefill, for streams of one urgency.
 
     Example:
         >>> budget = PrefillBudget()
@@ -45,16 +47,16 @@
         self._changed_at: Instant | None = None
 
     def part(self, now: Instant) -> float | None:
-        """Return the part; None where prefill is not bounded."""
+        """Return the current fraction, or None if prefill is not limited."""
         part = self._part_at(now)
         return None if part >= UNBOUNDED_PART else part
 
     def exceeded(self, now: Instant, engines: int) -> None:
-        """Note that a stream had a pause beyond its target.
+        """Record that a stream had a pause longer than its target.
 
         Args:
-            now: The present instant.
-            engines: Engines of the service.
+            now: The current instant.
+            engines: Number of engines of the service.
         """
         part = self._part_at(now) - PART_PER_EXCEEDED / max(1, engines)
         self._part = max(LEAST_PART, part)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/prompt_parts.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/prompt_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a prompt, and what an engine is believed to keep of them."""
+"""The parts of a prompt, and an estimate of which parts an engine has cached."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 LONG_PROMPT_TOKENS = 2_000
-"""Prompts from here on are long where no pause targets tell streams apart: their reading is a
-noticeable pause in every stream."""
+"""Length from which a prompt counts as long where pause targets do not distinguish streams. Its
+prefill causes a noticeable pause in every other stream on the engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A stretch of a prompt that other requests may share."""
+    """A section of a prompt that several requests may share."""
 
     id: str
     tokens: int
@@ -20,28 +20,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a request asks of an engine."""
+    """The model, prompt and answer size of a request."""
 
     model: str
     parts: tuple[PromptPart, ...]
     prompt_tokens: int
     output_tokens: int
-    """Most tokens that the answer may have."""
+    """Maximum number of tokens in the answer."""
     bears_reading: bool | None = None
-    """Whether its stream stands more reading beside it than others on its engines do; None where
-    that is not told, and the prompt's length decides."""
+    """Whether the request's stream tolerates more prefill on its engine than the most sensitive
+    streams do. None if unknown; the prompt's length then decides."""
 
     @property
     def memory_tokens(self) -> int:
-        """Tokens that the request takes of an engine's KV cache at its end."""
+        """Tokens of KV cache that the request occupies when it ends."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def is_long(self) -> bool:
-        """Whether it belongs with the prompts that are read beside one another.
+        """Whether the request is placed on the engines for long prompts.
 
-        Streams with the shortest pause target keep to engines where little is read. Where all have
-        the same, those whose reading is a noticeable pause keep away from the others.
+        Streams with the shortest pause target go to engines with little prefill. If all streams
+        have the same target, prompts whose prefill causes a noticeable pause are kept apart from
+        the others.
         """
         if self.bears_reading is not None:
             return self.bears_reading
@@ -49,17 +50,18 @@
 
     @property
     def session(self) -> str:
-        """Id by which requests with the same longest shared beginning are brought together."""
+        """Id that groups requests with the same longest shared prefix."""
         shared = self.parts[:-1] or self.parts
         return shared[-1].id if shared else ""
 
 
 class PartCache:
-    """Parts that an engine is believed to keep: the least recently used yield.
+    """Estimates which prompt parts an engine has cached, with least-recently-used eviction.
 
-    A part is kept from the moment a prompt with it is sent there: what comes behind it on that
-    engine finds it read. Another engine can fetch it only once it has been read; one that tries
-    earlier gets nothing and reads all of it as well.
+    A part counts as cached as soon as a prompt with it is sent to the engine: later prompts on
+    that engine find it already read. Another engine can fetch the part only after it has been
+    read. A fetch before that returns nothing, and the other engine has to read the whole part as
+    well.
 
     Example:
         >>> cache = PartCache(capacity_tokens=100)
@@ -85,7 +87,7 @@
         self._total = 0
 
     def kept_tokens(self, parts: tuple[PromptPart, ...]) -> int:
-        """Return the tokens that need not be read: a part counts if all before it are kept."""
+        """Return the cached tokens: a part counts only if all parts before it are cached."""
         kept = 0
         for part in parts:
             if part.id not in self._tokens_by_part:
@@ -94,7 +96,7 @@
         return kept
 
     def read_tokens(self, parts: tuple[PromptPart, ...]) -> int:
-        """Return the tokens that have been read, so that another engine can fetch them."""
+        """Return the number of tokens that have been read and can be fetched by another engine."""
         read = 0
         for part in parts:
             if part.id not in self._tokens_by_part or part.id in self._unread:
@@ -103,19 +105,19 @@
         return read
 
     def read(self, parts: tuple[PromptPart, ...]) -> None:
-        """Note that an engine has read these parts."""
+        """Record that the engine has read these parts."""
         self.use(parts)
         self._unread.difference_update(part.id for part in parts)
 
     def drop_unread(self, parts: tuple[PromptPart, ...]) -> None:
-        """Forget those of some parts that were to be read by a request that has ended early."""
+        """Remove the parts among these that were never read because their request ended early."""
         for part in parts:
             if part.id in self._unread:
                 self._unread.discard(part.id)
                 self._total -= self._tokens_by_part.pop(part.id)
 
     def use(self, parts: tuple[PromptPart, ...]) -> None:
-        """Note that a prompt with these parts is sent to the engine."""
+        """Record that a prompt with these parts is sent to the engine."""
         for part in parts:
             if part.id not in self._tokens_by_part:
                 self._unread.add(part.id)
@@ -127,7 +129,7 @@
             self._total -= tokens
 
     def clear(self) -> None:
-        """Forget everything: the engine has started anew."""
+        """Remove all parts, because the engine has restarted."""
         self._tokens_by_part.clear()
         self._unread.clear()
         self._total = 0
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/rate_limits.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/rate_limits.py
@@ -1,7 +1,7 @@
-"""Limits on the rate of requests that backend servers name in their answers.
+"""Request rate limits that backend servers announce in their answers.
 
-A limit is for all entries together. One entry, the scheduler of the server's pool, keeps it for
-all; what entries observe, they tell each other.
+A limit applies to all entries together. The scheduler of the server's pool enforces it for the
+fleet; entries tell each other which limits they have observed.
 """
 
 from __future__ import annotations
@@ -17,34 +17,35 @@
     from .backend_list import BackendServer
 
 HOLD = 2.0
-"""Least seconds for which a limit holds after an answer has named it: not every answer need do so,
-and answers overtake each other."""
+"""Minimum seconds for which a limit stays in force after an answer has announced it: not every
+answer announces it, and answers may arrive out of order."""
 
 USED_PART = 0.9
-"""Part of a limit that is used: requests do not arrive as evenly as they are sent."""
+"""Fraction of a limit that is used: requests do not arrive as evenly as they are sent."""
 
 LEAST_RATE = 0.25
-"""Requests a second that a server is sent at any limit: only its answers show that a limit ends."""
+"""Requests per second that a server is sent under any limit: only its answers show that a limit
+has ended."""
 
 BURST_SPAN = 0.25
-"""Seconds of its limit that a server may be sent at once, one request at least."""
+"""Burst size in seconds at the limited rate; at least one request."""
 
 NOTICE_LIFETIME = 5.0
-"""Seconds for which an entry tells others what it has observed."""
+"""Seconds for which an observation is included in statuses."""
 
 FALL = 0.8
-"""Part of the rate last told below which a new one is told at once."""
+"""Fraction of the last announced rate below which a new rate is announced at once."""
 
 MOMENT = 1e-6
-"""Seconds within which a wait counts as over."""
+"""Waits up to this many seconds count as zero."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitNotice:
-    """What an answer of a backend server said, as entries tell each other."""
+    """An observed limit, as entries tell each other."""
 
     rate: float | None
-    """Requests a second from all entries together; None where there is no limit any more."""
+    """Requests per second from all entries together; None if there is no limit any more."""
     age: float
     """Seconds since the answer."""
 
@@ -56,13 +57,13 @@
     tokens: float
     filled_at: Instant
     own: bool
-    """Whether this entry has observed it, rather than another."""
+    """Whether this entry has observed the limit, as opposed to a peer."""
     told_rate: float | None = None
-    """Rate of which others have been told at once; None where they have not."""
+    """Last rate that was announced to peers at once; None if there was none."""
 
 
 class RateLimits:
-    """The limits that are in force, by backend server, and what may be sent under them.
+    """The limits in force by backend server, enforced as token buckets.
 
     Example:
         >>> limits = RateLimits()
@@ -82,26 +83,26 @@
     def __init__(self) -> None:
         self._by_id: dict[str, _Limit] = {}
         self.news = 0
-        """Rises with each change that other entries should be told of at once."""
+        """Increases with each change that peers should be told at once."""
 
     @property
     def rate_by_id(self) -> Mapping[str, float]:
-        """Requests a second that limited backend servers take from all entries together."""
+        """Requests per second that limited backend servers accept from all entries together."""
         return {key: each.rate for key, each in self._by_id.items() if each.rate is not None}
 
     def rate(self, backend_id: str) -> float | None:
-        """Return the limit of a backend server; None where it has none."""
+        """Return the limit of a backend server, or None if it has none."""
         known = self._by_id.get(backend_id)
         return None if known is None else known.rate
 
     def observe(self, backend_id: str, rate: float | None, sent_at: Instant, now: Instant) -> None:
-        """Take in what an answer says.
+        """Process what an answer says about the limit.
 
         Args:
             backend_id: The backend server.
-            rate: The limit that the answer names; None where it names none.
+            rate: The limit announced by the answer; None if it announces none.
             sent_at: When the request was sent.
-            now: The present instant.
+            now: The current instant.
         """
         known = self._by_id.get(backend_id)
         if rate is None:
@@ -116,7 +117,7 @@
             self.news += 1
 
     def hear(self, backend_id: str, notice: LimitNotice, now: Instant) -> None:
-        """Take in what another entry has observed, unless this one knows of something later."""
+        """Record a limit observed by a peer, unless this entry knows a later observation."""
         known = self._by_id.get(backend_id)
         named_at = now - notice.age
         if known is not None and named_at <= known.named_at:
@@ -125,7 +126,7 @@
             self._note(backend_id, notice.rate, named_at, own=False)
 
     def notices(self, now: Instant) -> Mapping[str, LimitNotice]:
-        """Return what this entry has observed of late."""
+        """Return the limits that this entry has observed recently."""
         return {
             key: LimitNotice(each.rate, now - each.named_at)
             for key, each in self._by_id.items()
@@ -139,8 +140,8 @@
 
         Args:
             servers: The backend servers.
-            now: The present instant.
-            share: Part of the limits that this entry may use.
+            now: The current instant.
+            share: Fraction of the limits that this entry may use.
         """
         if not self._by_id:
             return servers
@@ -157,13 +158,13 @@
         return wait if wait > MOMENT else 0.0
 
     def spend(self, backend_id: str) -> None:
-        """Count a request that is sent to a backend server."""
+        """Record a request that is sent to a backend server."""
         known = self._by_id.get(backend_id)
         if known is not None and known.rate is not None:
             known.tokens -= 1.0
 
     def forget(self, backend_id: str) -> None:
-        """Forget a backend server that is gone or has restarted."""
+        """Remove a backend server that is gone or has restarted."""
         self._by_id.pop(backend_id, None)
 
     def _note(self, backend_id: str, rate: float | None, named_at: Instant, *, own: bool) -> _Limit:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/repeat_budget.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/repeat_budget.py
@@ -1,4 +1,4 @@
-"""This entry's part of the fleet's budget for sends beyond the first of each request."""
+"""This entry's share of the fleet's budget for repeated sends."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
     from ragwortwing_policy.clock import Instant
 
 USED_PART = 0.8
-"""Part of the allowance that is used: the rest covers sends that the receiver counts later."""
+"""Fraction of the allowance that is used: the rest covers sends that the receiver counts later."""
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatAllowance:
-    """What the whole fleet may send again in any window, for each service."""
+    """Repeated sends that the whole fleet may make to a service within a window."""
 
     ratio: float
-    """Repeats for each request of the window."""
+    """Repeats per request in the window."""
     extra: float
-    """Repeats beyond that, shared by all entries."""
+    """Additional repeats per window, shared by all entries."""
     window: timedelta
 
 
 class RepeatBudget:
-    """Repeats to one service that this entry may still send.
+    """Repeats that this entry may still send to one service.
 
-    Two windows are looked at: the requests of the one window must pay for its repeats. The extra
-    is divided by the entries that are alive; while their number is not known none of it is used,
-    since entries that each took the whole would overdraw it together.
+    Requests and repeats are counted over the same sliding window: the requests in it determine
+    how many repeats it may have. The extra is divided by the number of live entries. While that
+    number is unknown none of the extra is used, because entries that each used all of it would
+    exceed it together.
 
     Example:
         >>> allowance = RepeatAllowance(ratio=0.5, extra=0, window=timedelta(seconds=10))
@@ -46,15 +47,15 @@
         self._requests: deque[Instant] = deque()
         self._repeats: deque[Instant] = deque()
         self.entries: int | None = None
-        """Entries that share the extra, or None while that is not known."""
+        """Number of entries that share the extra, or None if unknown."""
 
     def count_request(self, now: Instant) -> None:
-        """Count the first send of a request."""
+        """Record the first send of a request."""
         self._requests.append(now)
         self._forget(now)
 
     def left(self, now: Instant) -> float:
-        """Return the repeats that may be sent now."""
+        """Return the number of repeats that may be sent now."""
         self._forget(now)
         allowance = self._allowance
         extra = allowance.extra / self.entries if self.entries else 0.0
@@ -62,7 +63,7 @@
         return allowed - len(self._repeats)
 
     def try_spend(self, now: Instant) -> bool:
-        """Take one repeat; False where none is left."""
+        """Use one repeat; return False if none is left."""
         if self.left(now) < 1:
             return False
         self._repeats.append(now)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/routing_table.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/routing_table.py
@@ -8,28 +8,28 @@
 from enum import StrEnum
 
 LEAST_URGENT_TIER = 9
-"""Number of the last tier; 0 is the most urgent."""
+"""Number of the lowest-priority tier; 0 is the most urgent."""
 
 
 class Repetition(StrEnum):
-    """What may be repeated of the requests on a route."""
+    """How often a request on a route may be executed."""
 
     IDEMPOTENT = "idempotent"
-    """Runs any number of times."""
+    """May be executed any number of times."""
     AT_MOST_ONCE = "at_most_once"
-    """Runs once at most."""
+    """May be executed once at most."""
     RESUMABLE = "resumable"
-    """A stream that another backend server may go on with after the last event delivered."""
+    """A stream that another backend server may continue after the last delivered event."""
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request whose fate is not known may be sent again."""
+        """Whether a request with an unknown outcome may be sent again."""
         return self is not Repetition.AT_MOST_ONCE
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service with its weight among the services of a route."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host and path prefix, and the service level they are owed."""
+    """Matches requests by host and path prefix and defines their service level."""
 
     name: str
     host: str
@@ -46,35 +46,36 @@
     repetition: Repetition
     streaming: bool
     timeout: timedelta
-    """Longest time that a request is kept waiting for its whole answer."""
+    """Maximum time until the whole answer."""
     latency_target: timedelta
-    """Time to the answer, or to the first event of a stream, that earns full credit."""
+    """Target time to the answer, or to the first event of a stream."""
     tier: int
     maximum_sends: int
-    """Backend servers that one request may be sent to."""
+    """Maximum number of sends of one request."""
     public: bool = False
-    """Whether requests need no key."""
+    """Whether requests need no API key."""
     pause_target: timedelta | None = None
-    """Longest pause between two events of a stream that is on time; None where none is declared."""
+    """Maximum pause between two events of a stream that counts as on time; None if not
+    configured."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What a configuration tells of the model engines of a service."""
+    """Configured properties of the model engines of a service."""
 
     slots: int
-    """Requests that one engine runs at a time."""
+    """Requests that one engine runs concurrently."""
     memory_tokens: int
-    """Tokens that fit into an engine's KV cache."""
+    """Capacity of an engine's KV cache in tokens."""
     tokens_per_event: int
     """Tokens in one event of a stream."""
     bytes_per_token: int = 0
-    """Bytes of KV cache for each token; 0 where engines cannot fetch from each other."""
+    """Bytes of KV cache per token; 0 if engines cannot fetch from each other."""
     link_bytes_per_second: float = 0.0
-    """Speed at which an engine fetches KV cache from another."""
+    """Rate at which an engine fetches KV cache from another."""
 
     def fetch_seconds(self, tokens: int) -> float | None:
-        """Return how long an engine takes to fetch tokens of KV cache; None where it cannot."""
+        """Return the seconds to fetch tokens of KV cache, or None if the engine cannot fetch."""
         if not self.bytes_per_token or not self.link_bytes_per_second:
             return None
         return tokens * self.bytes_per_token / self.link_bytes_per_second
@@ -82,16 +83,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service that requests are sent to."""
+    """A service that routes send requests to."""
 
     name: str
     engine: EngineTraits | None = None
-    """Traits of its model engines; None for a plain service."""
+    """Properties of its model engines; None for a plain service."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account; its tier, where it has one, goes before a route's."""
+    """A client account; its tier, if set, overrides the tier of the route."""
 
     name: str
     tier: int | None = None
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on the size and duration of a caller's request."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -108,7 +109,7 @@
 
 
 ALIKE = 1.25
-"""Factor within which two pause targets count as alike."""
+"""Largest ratio of two pause targets that are treated as equal."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,9 +128,9 @@
     longest: timedelta
 
     def bears_reading(self, target: timedelta | None) -> bool | None:
-        """Return whether a stream can stand more reading beside it than the most sensitive ones.
+        """Return whether a stream tolerates more prefill than the most sensitive streams do.
 
-        None where the targets do not tell streams apart.
+        Returns None if the pause targets do not distinguish streams.
         """
         if target is None or self.longest <= self.shortest * ALIKE:
             return None
@@ -138,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the configuration, ready for look-ups."""
+    """One version of the configuration, indexed for lookups."""
 
     version: int
     routes: tuple[Route, ...]
@@ -146,7 +147,7 @@
     accounts_by_key: Mapping[str, ClientAccount]
     limits: CallerLimits = CallerLimits()
     keys_required: bool = True
-    """False where the configuration has no client accounts at all."""
+    """False if the configuration has no client accounts."""
     _routes_by_host: Mapping[str, tuple[Route, ...]] = field(init=False, repr=False)
     _urgency_by_tiers: Mapping[tuple[int, int], int] = field(init=False, repr=False)
     _pauses_by_service: Mapping[str, PauseTargets] = field(init=False, repr=False)
@@ -164,7 +165,7 @@
         object.__setattr__(self, "_pauses_by_service", self._pause_targets())
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path, or None.
+        """Return the route with the longest prefix that matches a path, or None.
 
         Example:
             >>> from datetime import timedelta
@@ -183,17 +184,17 @@
         return None
 
     def tier_of(self, route: Route, account: ClientAccount | None) -> int:
-        """Return the tier of a request: its account's where that has one, else its route's."""
+        """Return the tier of a request: the account's tier if set, otherwise the route's."""
         if account is not None and account.tier is not None:
             return account.tier
         return route.tier
 
     def urgency_of(self, route: Route, account: ClientAccount | None) -> int:
-        """Return the rank of a request among those that engines run; 0 is the most urgent.
+        """Return the rank of a request among those on the engines; 0 is the most urgent.
 
-        The tier decides, and among requests of one tier the route's own: an account's tier would
-        otherwise make its drafts as urgent as its chats, and an engine that is full puts back
-        whichever came last.
+        Requests are ordered by their tier, and within a tier by the tier of their route. With
+        the account's tier alone, its drafts would be as urgent as its chats, and a full engine
+        preempts whichever request arrived last.
 
         Example:
             >>> from datetime import timedelta
@@ -210,7 +211,7 @@
         return min(LEAST_URGENT_TIER, self._urgency_by_tiers[tiers])
 
     def pause_targets(self, service: str) -> PauseTargets | None:
-        """Return the pause targets of the streams that share a service's engines."""
+        """Return the pause targets of the streams that share a service's engines, if configured."""
         return self._pauses_by_service.get(service)
 
     def _pause_targets(self) -> dict[str, PauseTargets]:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_ledger.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_ledger.py
@@ -1,4 +1,4 @@
-"""What a scheduler knows of the runs of all entries on its pools, kept up from their reports."""
+"""A scheduler's record of the runs of all entries on its pools, updated from their reports."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
     from .run_report import EndedRun, ReportedRun, RunReport
 
 SENDER_SILENCE = 2.5
-"""Seconds without a report after which an entry's runs are dropped: they have been cut with it."""
+"""Seconds without a report after which an entry's runs are dropped: its connections to the
+engines have ended too."""
 
 GRANT_EXPIRY = 0.5
-"""Seconds after which a grant that its entry has not reported is taken back."""
+"""Seconds after which a grant that its entry has not reported is revoked."""
 
 
 def run_key(sender: str, ticket: str) -> str:
-    """Return the name of another entry's run among those of all entries."""
+    """Return a key for another entry's run that is unique among all entries."""
     return f"{sender}/{ticket}"
 
 
@@ -44,7 +45,7 @@
 
 
 class RunLedger:
-    """Runs of the other entries, as the load of the engines they are on."""
+    """Runs of the other entries, added to the load of the engines they are on."""
 
     def __init__(
         self,
@@ -56,8 +57,8 @@
 
         Args:
             placement: Holds the engines' loads.
-            trust: Told of the failures that other entries saw.
-            engine: Returns a listed engine and its traits by its id.
+            trust: Records the failures that other entries reported.
+            engine: Returns a listed engine and its traits by id.
         """
         self._placement = placement
         self._trust = trust
@@ -67,19 +68,19 @@
     def granted(
         self, pool: str, sender: str, started: int, ticket: str, backend_id: str, now: Instant
     ) -> None:
-        """Note a grant to another entry; the engine's load counts it already."""
+        """Record a grant to another entry; the engine's load already includes it."""
         known = self._sender(pool, sender, started, now)
         known.heard_at = now
         known.runs_by_ticket[ticket] = _Run(backend_id, now)
 
     def is_reported(self, pool: str, sender: str, ticket: str) -> bool:
-        """Return whether an entry has reported a run, or that it has ended."""
+        """Return whether an entry has reported a run or its end."""
         known = self._senders_by_pool.get((pool, sender))
         run = known.runs_by_ticket.get(ticket) if known is not None else None
         return run is None or run.reported
 
     def take(self, report: RunReport, now: Instant) -> bool:
-        """Take in a report; return whether an engine's load has changed."""
+        """Process a report and return whether an engine's load has changed."""
         sender = self._sender(report.pool, report.sender, report.started, now)
         if report.started < sender.started or report.number <= sender.number:
             return False
@@ -96,13 +97,13 @@
         return changed
 
     def withdraw(self, pool: str, sender: str, ticket: str, now: Instant) -> None:
-        """Take back a grant that its entry does not use."""
+        """Revoke a grant that its entry does not use."""
         known = self._senders_by_pool.get((pool, sender))
         if known is not None:
             self._end(sender, known, ticket, now)
 
     def expire(self, now: Instant) -> tuple[str, ...]:
-        """Drop silent entries and grants that were not used; return the names of the silent."""
+        """Drop silent entries and unused grants; return the names of the silent entries."""
         silent = []
         for (pool, name), sender in list(self._senders_by_pool.items()):
             if now - sender.heard_at > SENDER_SILENCE:
@@ -137,7 +138,7 @@
         return self._placement.first_event(known.backend_id, key, now) is not None
 
     def _adopt(self, report: RunReport, sender: _Sender, run: ReportedRun, now: Instant) -> bool:
-        """Count a run that another scheduler, or the entry itself, has placed."""
+        """Add a run that another scheduler or the entry itself has placed."""
         found = self._engine(run.backend_id)
         if found is None:
             return False
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_report.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_report.py
@@ -1,7 +1,7 @@
-"""What an entry reports of its requests on a pool's engines to the entries that schedule the pool.
+"""Reports of an entry's requests on a pool's engines, sent to the entries that schedule the pool.
 
-A report that is lost or comes twice does no harm: now and then one names every run, and what a
-whole report does not name has ended.
+Lost and duplicated reports are tolerated: a whole report is sent at intervals, and a run that is
+missing from it has ended.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
     reading: PromptReading
     urgency: int
     age: float = 0.0
-    """Seconds since it was sent."""
+    """Seconds since the request was sent."""
     is_read: bool = False
-    """Whether its first event has come."""
+    """Whether its first event has arrived."""
     exceeded: bool = False
-    """Whether its stream had a pause beyond its target."""
+    """Whether its stream had a pause longer than its target."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """A request that has left an engine."""
+    """A request that is no longer on an engine."""
 
     ticket: str
     backend_id: str
     failed: bool = False
-    """Whether the backend server failed it."""
+    """Whether the backend server failed the request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,12 +50,13 @@
 
     sender: str
     started: int
-    """When the sender started, so that its runs are not mistaken for those of an earlier life."""
+    """Start time of the sender, which distinguishes its runs from those of an earlier process."""
     number: int
-    """Rises with each report of the sender; an older one that comes late is dropped."""
+    """Increases with each report of the sender; a report that arrives after a newer one is
+    dropped."""
     pool: str
     runs: tuple[ReportedRun, ...]
-    """Those that are new or have had their first event since the last report, or all."""
+    """The runs that are new or had their first event since the last report, or all runs."""
     ended: tuple[EndedRun, ...] = ()
     whole: bool = False
 
@@ -67,7 +68,7 @@
 
 
 class RunReporter:
-    """Makes one entry's reports on one pool."""
+    """Creates one entry's reports on one pool."""
 
     def __init__(self, sender: str, started: int, pool: str) -> None:
         self._sender = sender
@@ -86,26 +87,26 @@
         return bool(self._changed or self._ended)
 
     def begin(self, run: ReportedRun, now: Instant) -> None:
-        """Note that a request is sent to an engine."""
+        """Record that a request is sent to an engine."""
         self._runs_by_ticket[run.ticket] = _OwnRun(run, now)
         self._note_change(run.ticket)
 
     def first_event(self, ticket: str) -> None:
-        """Note that an engine has read a request's prompt."""
+        """Record that an engine has read a request's prompt."""
         own = self._runs_by_ticket.get(ticket)
         if own is not None and not own.run.is_read:
             own.run = replace(own.run, is_read=True)
             self._note_change(ticket)
 
     def pause_exceeded(self, ticket: str) -> None:
-        """Note that a stream had a pause beyond its target."""
+        """Record that a stream had a pause longer than its target."""
         own = self._runs_by_ticket.get(ticket)
         if own is not None and not own.run.exceeded:
             own.run = replace(own.run, exceeded=True)
             self._note_change(ticket)
 
     def end(self, ticket: str, *, failed: bool) -> None:
-        """Note that a request has left its engine."""
+        """Record that a request is no longer on its engine."""
         own = self._runs_by_ticket.pop(ticket, None)
         if own is not None:
             self._changed.pop(ticket, None)
@@ -113,7 +114,7 @@
             self._changed_since_whole = True
 
     def knows(self, ticket: str) -> bool:
-        """Return whether a request is on an engine."""
+        """Return whether a request is currently on an engine."""
         return ticket in self._runs_by_ticket
 
     def is_due(self, now: Instant) -> bool:
@@ -122,7 +123,7 @@
         return pending and now >= self._whole_at
 
     def report(self, now: Instant) -> RunReport:
-        """Return what has changed since the last report, or everything when that is due."""
+        """Return the changes since the last report, or all runs if a whole report is due."""
         whole = self.is_due(now)
         tickets = list(self._runs_by_ticket if whole else self._changed)
         ended, self._ended = tuple(self._ended), []
@@ -133,7 +134,7 @@
         return self._numbered(tickets, ended, now, whole=whole)
 
     def whole_report(self, now: Instant) -> RunReport:
-        """Return everything, for a receiver that knows nothing; changes stay to be reported."""
+        """Return all runs for a receiver without state; pending changes stay pending."""
         return self._numbered(list(self._runs_by_ticket), (), now, whole=True)
 
     def _note_change(self, ticket: str) -> None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
@@ -1,7 +1,7 @@
-"""Which entry schedules the engines of a pool, chosen alike by every entry from peer statuses.
+"""Selection of the entry that schedules a pool's engines, computed from peer statuses.
 
-The choice is advice and nothing is agreed on. Two entries that choose differently cost a worse
-placement; an engine's own refusal stays the last word.
+Every entry computes the choice by itself; there is no consensus protocol. If two entries choose
+differently, placements get worse but stay correct: an engine may still refuse a request.
 """
 
 from __future__ import annotations
@@ -13,35 +13,36 @@
 from .lanes import rank
 
 PEER_SILENCE = 1.8
-"""Seconds without a status after which a peer is not chosen; one comes every second."""
+"""Seconds without a status after which a peer is not chosen. A status is sent every second."""
 
 SUSPECTED_FOR = 1.0
-"""Seconds for which an entry that did not answer is passed over."""
+"""Seconds for which an entry that did not answer is not chosen."""
 
 SETTLED_AFTER = 3.0
-"""Seconds of uptime before an entry is preferred: until then it does not know what runs."""
+"""Minimum uptime in seconds before an entry is preferred: until then it does not know which
+requests are running."""
 
 LEAST_CAPACITY = 0.5
-"""Part of the largest candidate's processor that an entry needs to be chosen."""
+"""Minimum capacity of a scheduler as a fraction of the largest candidate's capacity."""
 
 CHOICE_LIFETIME = 0.1
-"""Seconds for which a ranking is used again."""
+"""Seconds for which a computed ranking is cached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An entry that could schedule."""
+    """An entry that can act as scheduler."""
 
     name: str
     capacity: float
-    """Processor time that its VM gives it, in cores."""
+    """CPU time available to its VM, in cores."""
     uptime: float
-    """Seconds since it could serve."""
+    """Seconds since the entry became able to schedule."""
     heard_at: Instant
 
 
 class SchedulerChoice:
-    """The entries that schedule each pool, best first.
+    """Ranks the entries that can schedule each pool.
 
     Example:
         >>> choice = SchedulerChoice("entry-1")
@@ -63,48 +64,48 @@
         self._ranked_by_pool: dict[str, tuple[Instant, tuple[str, ...], tuple[str, ...]]] = {}
 
     def offer(self, own: Candidate | None) -> None:
-        """Say whether this entry itself can schedule."""
+        """Set this entry's own candidacy; None if it cannot schedule."""
         if (own is None) != (self._own is None):
             self._ranked_by_pool.clear()
         self._own = own
 
     def hear(self, peer: Candidate) -> None:
-        """Take over what a peer says of itself."""
+        """Record the candidacy of a peer."""
         if peer.name not in self._peers_by_name:
             self._ranked_by_pool.clear()
         self._peers_by_name[peer.name] = peer
 
     def withdraw(self, peer: str) -> None:
-        """Note that a peer does not schedule, or is gone."""
+        """Record that a peer does not schedule, or is gone."""
         if self._peers_by_name.pop(peer, None) is not None:
             self._ranked_by_pool.clear()
 
     def suspect(self, peer: str, now: Instant) -> None:
-        """Pass over a peer that did not answer for a while."""
+        """Exclude a peer that did not answer, for SUSPECTED_FOR seconds."""
         self._suspected_until_by_name[peer] = now + SUSPECTED_FOR
         self._ranked_by_pool.clear()
 
     def answered(self, peer: str) -> None:
-        """Note that a peer answers."""
+        """Record that a peer answers, which ends its exclusion."""
         if self._suspected_until_by_name.pop(peer, None) is not None:
             self._ranked_by_pool.clear()
 
     def scheduler(self, pool: str, now: Instant) -> str | None:
-        """Return the entry that schedules a pool; None where no entry is known to."""
+        """Return the entry that schedules a pool, or None if no candidate is known."""
         settled, _ = self._ranked(pool, now)
         return settled[0] if settled else None
 
     def informed(self, pool: str, now: Instant) -> frozenset[str]:
-        """Return the other entries that are told what runs on a pool.
+        """Return the other entries that receive reports of the runs on a pool.
 
-        These are the scheduler, the one that would take over from it, and one that will be chosen
-        once it has been up for long enough.
+        These are the scheduler, its successor, and the entry that will be chosen once its uptime
+        is long enough.
         """
         settled, ready = self._ranked(pool, now)
         return frozenset((*settled[:2], *ready[:1])) - {self._own_name}
 
     def _ranked(self, pool: str, now: Instant) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        """Return the candidates that have settled and all of them, best first."""
+        """Return the candidates with enough uptime and all candidates, best first."""
         known = self._ranked_by_pool.get(pool)
         if known is not None and now < known[0]:
             return known[1], known[2]
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/send_state.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/send_state.py
@@ -1,4 +1,4 @@
-"""What is known of one send of a request, and what may follow when it fails."""
+"""State of a send of a request, and whether the request may be sent again after a failure."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Send:
-    """One send; the chart allows only steps that keep its state true.
+    """One send, whose state changes only along the transitions of the chart.
 
     Example:
         >>> send = Send()
@@ -40,37 +40,37 @@
         self.state = SendState.NOT_SENT
 
     def advance(self, trigger: str) -> None:
-        """Follow one edge of the chart.
+        """Apply a trigger of the chart.
 
         Raises:
-            InvalidTransitionError: The chart has no such edge from the present state.
+            InvalidTransitionError: The chart has no such transition from the current state.
         """
         self.state = SendState(load_chart("send").next(self.state, trigger))
 
     @property
     def has_run_for_certain_not(self) -> bool:
-        """Whether the request is known not to have run, and not to run later."""
+        """Whether it is certain that the request has not run and will not run later."""
         return self.state in (SendState.NOT_SENT, SendState.DECLINED)
 
 
 @dataclass(frozen=True, slots=True)
 class SendHistory:
-    """The sends of one request so far."""
+    """The previous sends of one request."""
 
     sends: int = 0
-    """Sends of which a byte was written."""
+    """Sends of which at least one byte was written."""
     may_have_run: bool = False
-    """Whether any of them ended without the word that it did not run."""
+    """Whether any send ended without confirmation that the request did not run."""
 
     def after(self, send: Send) -> SendHistory:
-        """Return the history with one more send that has failed."""
+        """Return the history extended by one more failed send."""
         return SendHistory(
             sends=self.sends + (send.state is not SendState.NOT_SENT),
             may_have_run=self.may_have_run or not send.has_run_for_certain_not,
         )
 
     def may_send_again(self, repetition: Repetition, maximum_sends: int) -> bool:
-        """Return whether the kind of request and the route's bound allow one more send."""
+        """Return whether the repetition rule and the maximum of sends allow another send."""
         if self.sends >= maximum_sends:
             return False
         return repetition.may_repeat or not self.may_have_run
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/unread_prompts.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/unread_prompts.py
@@ -1,4 +1,4 @@
-"""The reading that is still ahead of an engine, by urgency."""
+"""Pending prefill of an engine by urgency."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnreadPrompts:
-    """Prompts that were sent to an engine and have had no first event, as seconds of reading.
+    """Prompts sent to an engine that have had no first event, in seconds of prefill.
 
     Example:
         >>> unread = UnreadPrompts()
@@ -26,11 +26,11 @@
         self._seconds = [0.0] * (LEAST_URGENT_TIER + 1)
 
     def add(self, urgency: int, seconds: float) -> None:
-        """Count a prompt."""
+        """Add a prompt."""
         self._change(1, urgency, seconds)
 
     def remove(self, urgency: int, seconds: float) -> None:
-        """Take a prompt out that has been read, or will not be."""
+        """Remove a prompt that has been read or was cancelled."""
         self._change(-1, urgency, -seconds)
 
     def _change(self, prompts: int, urgency: int, seconds: float) -> None:
@@ -38,9 +38,9 @@
         rank = min(LEAST_URGENT_TIER, max(0, urgency))
         self._seconds[rank] = max(0.0, self._seconds[rank] + seconds)
         if not self.prompts:
-            # Sums of fractions leave a rest behind, and an idle engine would look busy.
+            # Rounding errors of the sums would make an idle engine look busy.
             self._seconds = [0.0] * (LEAST_URGENT_TIER + 1)
 
     def seconds(self, urgency: int = LEAST_URGENT_TIER) -> float:
-        """Return the seconds of reading of prompts at least as urgent."""
+        """Return the seconds of pending prefill of prompts that are at least as urgent."""
         return sum(self._seconds[: urgency + 1])
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/candidates.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/candidates.py
@@ -1,6 +1,7 @@
-"""Which entry should hold a duty, ranked alike by every entry from peer statuses.
+"""Ranking of the entries that should hold a duty, computed from peer statuses.
 
-The ranking is advice: the lease in the log decides who may act.
+Every entry computes the same ranking from the same statuses. It is only a preference: the lease
+in the log decides which entry may act.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
     from ragwortwing_policy.clock import Instant
 
 PEER_SILENCE = 1.8
-"""Seconds without a status after which a peer is no candidate; one comes every second."""
+"""Seconds without a status after which a peer is no candidate. A status is sent every second."""
 
 
 class DutyCandidates:
-    """The entries that could hold duties.
+    """The entries that are able to hold duties.
 
     Example:
         >>> candidates = DutyCandidates("entry-1")
@@ -47,20 +48,20 @@
 
     @property
     def offset_by_duty(self) -> Mapping[str, int]:
-        """Where the newest record of each duty stands that this entry knows of."""
+        """Log offset of the newest known record of each duty."""
         return self._offset_by_duty
 
     def knows_record(self, duty: str, offset: int) -> None:
-        """Note where a duty's newest record stands."""
+        """Record the log offset of a duty's newest record."""
         if offset >= 0:
             self._offset_by_duty[duty] = offset
 
     def offer(self, *, can_hold: bool) -> None:
-        """Say whether this entry can hold duties."""
+        """Set whether this entry can hold duties."""
         self._can_hold = can_hold
 
     def hear(self, peer: str, *, can_hold: bool, now: Instant) -> None:
-        """Take in a peer's status."""
+        """Process a peer's status."""
         self._heard_at_by_peer[peer] = now
         if can_hold:
             self._able.add(peer)
@@ -68,17 +69,17 @@
             self._able.discard(peer)
 
     def alive(self, now: Instant, silence: float = PEER_SILENCE) -> frozenset[str]:
-        """Return the peers that have been heard of late.
+        """Return the peers that have been heard recently.
 
         Args:
-            now: The present instant.
-            silence: Seconds without a status after which a peer is left out.
+            now: The current instant.
+            silence: Seconds without a status after which a peer is excluded.
         """
         heard = self._heard_at_by_peer.items()
         return frozenset(name for name, at in heard if now - at < silence)
 
     def ranked(self, duty: str, now: Instant) -> tuple[str, ...]:
-        """Return the candidates for a duty, the one that should hold it first."""
+        """Return the candidates for a duty, most preferred first."""
         names = self._able & self.alive(now)
         if self._can_hold:
             names = names | {self._name}
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/duty_record.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/duty_record.py
@@ -1,15 +1,15 @@
-"""The record by which the log names the holder of a duty."""
+"""The log record that names the holder of a duty."""
 
 from __future__ import annotations
 
 import msgspec
 
 FORMAT = 1
-"""Version of the record's layout."""
+"""Version of the record format."""
 
 
 class DutyRecordError(Exception):
-    """A record that cannot be read, or that contradicts its place in the log."""
+    """A record that cannot be decoded or that is inconsistent with its offset in the log."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause)
@@ -17,39 +17,40 @@
 
 
 class DutyRecord(msgspec.Struct, frozen=True):
-    """Who holds a duty, and what the duty has decided so far."""
+    """The holder of a duty and the duty's saved state."""
 
     holder: str
     """Name of the entry."""
     life: int
-    """Start of its process, in Unix milliseconds: a restarted process is another holder."""
+    """Start of its process in Unix milliseconds: a restarted process is a different holder."""
     fencing_token: int
-    """Rises with each change of the holder; taken from the offset of the holder's first record."""
+    """Increases with each change of holder; derived from the offset of the holder's first
+    record."""
     state: bytes
-    """The duty's own state."""
+    """State of the duty, opaque to this module."""
     released: bool = False
-    """Whether the holder has given the duty up."""
+    """Whether the holder has released the duty."""
     format: int = FORMAT
 
     def is_of(self, holder: str, life: int) -> bool:
-        """Return whether a process holds the duty by this record."""
+        """Return whether the record names a process as the current holder."""
         return (self.holder, self.life) == (holder, life) and not self.released
 
 
 def encode_record(record: DutyRecord) -> bytes:
-    """Return a record as it stands in the log."""
+    """Encode a record for the log."""
     return msgspec.json.encode(record)
 
 
 def decode_record(data: bytes, offset: int) -> DutyRecord:
-    """Read a record.
+    """Decode a record.
 
     Args:
-        data: The record as it stands in the log.
-        offset: Where it stands.
+        data: The encoded record.
+        offset: Offset of the record in the log.
 
     Raises:
-        DutyRecordError: It cannot be read, or claims a token that its place cannot have given.
+        DutyRecordError: It cannot be decoded, or its fencing token is impossible at this offset.
     """
     try:
         record = msgspec.json.decode(data, type=DutyRecord)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/fleet_time.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/fleet_time.py
@@ -1,6 +1,6 @@
-"""The true time as the fleet knows it: the median of all entries' wall clocks.
+"""Estimate of the true time: the median of all entries' wall clocks.
 
-A wall clock may jump by seconds; as long as most of them do not, the median stays.
+A wall clock may jump by seconds. The median is stable as long as most clocks do not jump.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
     from ragwortwing_policy.clock import Clock, Instant
 
 READING_LIFETIME = 5.0
-"""Seconds for which a peer's clock reading counts."""
+"""Seconds for which a peer's clock reading is used."""
 
 MEDIAN_LIFETIME = 0.2
-"""Seconds for which a median is used again."""
+"""Seconds for which a computed median is cached."""
 
 
 class FleetTime:
-    """Unix time by the median of the readings of this entry and its peers.
+    """Unix time as the median of the clock readings of this entry and its peers.
 
     Example:
         >>> from ragwortwing_policy.clock import ManualClock
@@ -39,7 +39,7 @@
         self._computed_at: Instant | None = None
 
     def hear(self, peer: str, unix_time: float) -> None:
-        """Take in the reading of a peer's wall clock, in seconds of the Unix time."""
+        """Record a reading of a peer's wall clock, in seconds of Unix time."""
         now = self._clock.boot_time()
         self._reading_by_peer[peer] = (unix_time - now, now)
         self._computed_at = None
@@ -49,7 +49,7 @@
         return self._clock.utc_now().timestamp()
 
     def unix_time(self) -> float:
-        """Return the true time in seconds of the Unix time, as far as the fleet knows it."""
+        """Return the estimated true time in seconds of Unix time."""
         now = self._clock.boot_time()
         if self._computed_at is None or now - self._computed_at > MEDIAN_LIFETIME:
             self._offset = self._median_offset(now)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/lease.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/lease.py
@@ -1,8 +1,9 @@
-"""The lease under which an entry performs a duty, decided from the log and the entry's own clock.
+"""The lease under which an entry performs a duty, derived from the log and a local clock.
 
-Each record is appended on the condition that the log still ends where it was last read, so of
-several entries only one succeeds. The log gives no time: the holder counts its lease from before it
-asked for the record, any other entry from after it has read it, so the former always ends first.
+Each record is appended on the condition that the log still ends where it was last read, so only
+one of several competing entries succeeds. The log contains no time. The holder measures its
+lease from before it proposed the record, and every other entry from after it has read the
+record. The holder's lease therefore always ends first.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 OFFSETS_KEPT = 8
-"""Latest records of which it is kept when a peer told of them."""
+"""Number of recent records for which the time of a peer's first mention is kept."""
 
 
 class LeaseState(StrEnum):
@@ -39,24 +40,24 @@
 
     name: str
     life: int
-    """Its start, in Unix milliseconds."""
+    """Start of the process in Unix milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogState:
-    """The duty as the log shows it."""
+    """The log of a duty as last read."""
 
     end: int
-    """Offset that the next record gets."""
+    """Offset of the next record."""
     record: DutyRecord | None = None
-    """The newest record; None where there is none, or none that can be read."""
+    """The newest record; None if there is none or it cannot be decoded."""
     offset: int = -1
-    """Where the newest record stands."""
+    """Offset of the newest record."""
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A record, and the offset at which it is to stand."""
+    """A record and the offset at which it is to be appended."""
 
     offset: int
     record: DutyRecord
@@ -64,9 +65,9 @@
 
 
 class DutyLease:
-    """One entry's part in holding one duty.
+    """One entry's view of the lease of one duty.
 
-    All instants are of a clock that goes on while the machine is suspended.
+    All instants are of a clock that continues while the machine is suspended.
 
     Example:
         >>> from datetime import timedelta
@@ -81,17 +82,18 @@
     """
 
     def __init__(self, holder: Holder, span: timedelta, started_at: Instant) -> None:
-        """Create the lease of an entry that holds nothing.
+        """Create the lease of an entry that does not hold the duty.
 
         Args:
             holder: The entry's process.
-            span: For how long a record lets its writer act.
-            started_at: When the process began.
+            span: Duration for which a record allows its writer to act.
+            started_at: When the process started.
         """
         self._holder = holder
         self._span = span.total_seconds()
-        # A process that was killed may have acted until just before: until its last lease is over
-        # it must not act between the acts of a successor.
+        # A previous process of this entry may have acted until just before this one started. This
+        # process waits for that lease to end, so that its actions do not interleave with those of
+        # a successor.
         self._not_before = started_at + self._span
         self.state = LeaseState.UNKNOWN
         self._log = LogState(end=0)
@@ -102,17 +104,17 @@
 
     @property
     def record(self) -> DutyRecord | None:
-        """The newest record of the log, as far as known."""
+        """The newest known record of the log."""
         return self._log.record
 
     @property
     def fencing_token(self) -> int:
-        """The token of the newest record."""
+        """The fencing token of the newest record."""
         record = self._log.record
         return record.fencing_token if record is not None else 0
 
     def holds(self, now: Instant) -> bool:
-        """Return whether this entry may act at this moment."""
+        """Return whether this entry may act now."""
         return self.remaining(now) > 0.0
 
     def remaining(self, now: Instant) -> float:
@@ -123,17 +125,17 @@
 
     @property
     def offset(self) -> int:
-        """Where the newest known record stands; -1 where none is known."""
+        """Offset of the newest known record; -1 if none is known."""
         return self._log.offset
 
     def heard_of(self, offset: int, now: Instant) -> None:
-        """Note that a peer knows of a record: its lease began before now, wherever it is read."""
+        """Record that a peer knows a record: its lease began before now, whenever it is read."""
         self._heard_at_by_offset.setdefault(offset, now)
         while len(self._heard_at_by_offset) > OFFSETS_KEPT:
             del self._heard_at_by_offset[min(self._heard_at_by_offset)]
 
     def read(self, log: LogState, now: Instant) -> None:
-        """Take over what the log shows."""
+        """Process the state of the log."""
         if log.end < self._log.end:
             return
         if self._read_at is None or log.offset != self._log.offset:
@@ -146,16 +148,17 @@
         self._unanswered = [each for each in self._unanswered if each.offset >= log.end]
 
     def _find_own(self, log: LogState) -> None:
-        """Resolve an append without an answer: its lease runs from when it was asked for."""
+        """Resolve an unanswered append: its lease runs from when it was proposed."""
         for proposal in self._unanswered:
             if (proposal.offset, proposal.record) == (log.offset, log.record):
                 self._valid_until = proposal.proposed_at + self._span
         self._advance("read_own")
 
     def may_append(self, now: Instant) -> bool:
-        """Return whether a record of this entry may be appended now.
+        """Return whether this entry may append a record now.
 
-        The holder may at any time; another entry once the holder's lease is over for certain.
+        The holder may append at any time, any other entry once the holder's lease has certainly
+        ended.
         """
         if now < self._not_before:
             return False
@@ -174,9 +177,9 @@
         """Return the record to append next.
 
         Args:
-            state: The duty's own state.
-            now: The present instant, before anything is sent.
-            release: Whether the record gives the duty up.
+            state: State of the duty to save.
+            now: The current instant, taken before anything is sent.
+            release: Whether the record releases the duty.
         """
         holds = self.state is LeaseState.HELD
         offset = self._log.end
@@ -187,7 +190,7 @@
         return proposal
 
     def accepted(self, proposal: Proposal) -> None:
-        """Note that a proposed record stands in the log."""
+        """Record that a proposed record was appended."""
         self._log = LogState(proposal.offset + 1, proposal.record, proposal.offset)
         self._read_at = proposal.proposed_at
         self._unanswered.clear()
@@ -199,11 +202,11 @@
         self._advance("accept")
 
     def rejected(self) -> None:
-        """Note that a proposed record does not stand in the log and never will."""
+        """Record that a proposed record was not appended and never will be."""
         self._advance("lose_track")
 
     def unanswered(self, proposal: Proposal) -> None:
-        """Note that a proposed record may stand in the log, or come to stand there."""
+        """Record that a proposed record may have been or may still be appended."""
         self._unanswered.append(proposal)
         if proposal.record.released:
             self._valid_until = proposal.proposed_at
@@ -211,7 +214,7 @@
         self._advance("lose_track")
 
     def lose_track(self) -> None:
-        """Forget what the log was read to show: it has to be read again."""
+        """Discard the known state of the log, so that it has to be read again."""
         self._advance("lose_track")
 
     def _advance(self, trigger: str) -> None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_counts.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_counts.py
@@ -1,7 +1,7 @@
-"""Requests that began to run, counted by window of the wall clock and client account.
+"""Counts of requests that began to run, by time window and client account.
 
-Each entry counts what it sees and reports cumulative counts, so that a report may be lost, repeated
-or overtaken. The holder of the duty adds up what all entries reported.
+Each entry counts its own requests and reports cumulative counts, so reports may be lost,
+repeated or reordered. The holder of the duty adds up the reports of all entries.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 from dataclasses import dataclass, field
 
 WINDOWS_KEPT = 12
-"""Windows for which counts are kept: a minute of them at 5 s."""
+"""Number of windows for which counts are kept: one minute with windows of 5 s."""
 
 CLOSE_AFTER = 0.7
-"""Seconds after a window's end until an entry calls its counts complete: an answer tells late
-that its request began earlier."""
+"""Seconds after a window's end until an entry declares its counts complete: an answer reports
+only later that its request began in the window."""
 
 CountsByAccount = Mapping[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """What one process counted."""
+    """The counts of one process."""
 
     sender: str
     life: int
-    """Start of its process, in Unix milliseconds."""
+    """Start of its process in Unix milliseconds."""
     first_window: int
-    """The window in which it began to count."""
+    """The window in which the process began to count."""
     closed_through: int
     """The last window whose counts are complete."""
     counts_by_window: Mapping[int, CountsByAccount] = field(default_factory=dict)
 
 
 class UsageCounter:
-    """What this entry counted.
+    """Counts the requests of this entry.
 
     Example:
         >>> counter = UsageCounter("entry-1", life=1, window=5.0, started_at=1_000.0)
@@ -47,11 +47,11 @@
     """
 
     def __init__(self, sender: str, life: int, window: float, started_at: float) -> None:
-        """Create an empty counter; times are seconds of the Unix time.
+        """Create an empty counter; times are seconds of Unix time.
 
         Args:
             sender: Name of the entry.
-            life: Start of its process, in Unix milliseconds.
+            life: Start of its process in Unix milliseconds.
             window: Length of a window in seconds.
             started_at: When it begins to count.
         """
@@ -74,17 +74,17 @@
         return int((now - CLOSE_AFTER) // self._window) - 1
 
     def has_news(self, now: float) -> bool:
-        """Return whether something changed since the last report."""
+        """Return whether something has changed since the last report."""
         return bool(self._changed) or self.closed_through(now) > self._reported_through
 
     def report(self, now: float, *, whole: bool = True) -> UsageReport:
-        """Return a report of all windows that are kept, or of those that changed."""
+        """Return a report of all windows that are kept, or only of those that changed."""
         closed = self.closed_through(now)
         for window in [w for w in self._counts_by_window if w <= closed - WINDOWS_KEPT]:
             del self._counts_by_window[window]
         reported = self._counts_by_window
         if not whole:
-            # A closing window is sent once more: the report that changed it last may be lost.
+            # Windows are sent again when they close, as the report of the last change may be lost.
             closing = range(self._reported_through + 1, closed + 1)
             chosen = self._changed | set(closing)
             reported = {w: counts for w, counts in reported.items() if w in chosen}
@@ -107,7 +107,7 @@
 
 
 class UsageLedger:
-    """What all entries counted.
+    """Aggregates the counts of all entries.
 
     Example:
         >>> ledger = UsageLedger()
@@ -121,7 +121,7 @@
         self._lives: dict[tuple[str, int], _Life] = {}
 
     def take(self, report: UsageReport) -> None:
-        """Add a report; counts only rise, so an older one changes nothing."""
+        """Merge a report. Counts only increase, so an older report changes nothing."""
         key = (report.sender, report.life)
         life = self._lives.get(key)
         if life is None:
@@ -135,22 +135,22 @@
             del life.counts_by_window[window]
 
     def forget_before(self, window: int) -> None:
-        """Drop the processes that have reported nothing since a window."""
+        """Remove the processes whose last complete window is before a window."""
         for key in [key for key, life in self._lives.items() if life.closed_through < window]:
             del self._lives[key]
 
     @property
     def first_window(self) -> int | None:
-        """The first window of which something is known; None where nothing is."""
+        """The first window for which counts are known, or None."""
         return min((life.first_window for life in self._lives.values()), default=None)
 
     def missing(self, window: int, senders: frozenset[str]) -> frozenset[str]:
-        """Return the entries that have not called a window's counts complete."""
+        """Return the entries that have not declared a window's counts complete."""
         closed = {name for (name, _), life in self._lives.items() if life.closed_through >= window}
         return senders - closed
 
     def counts(self, window: int) -> dict[str, int]:
-        """Return the requests of each account that began in a window."""
+        """Return the number of requests of each account that began in a window."""
         total: Counter[str] = Counter()
         for life in self._lives.values():
             total.update(life.counts_by_window.get(window, {}))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_windows.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_windows.py
@@ -1,4 +1,4 @@
-"""Which windows of usage are fixed in the log, and which still have to be sent."""
+"""State of usage windows: which are final in the log, and which still have to be delivered."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UsageStateError(Exception):
-    """A state in the log that cannot be read."""
+    """A state in the log that cannot be decoded."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause)
@@ -25,29 +25,29 @@
 
 
 class UsageState(msgspec.Struct, frozen=True):
-    """The windows that are decided; what is fixed once is never counted anew."""
+    """The windows whose counts are final; a fixed window is never counted again."""
 
     fixed_through: int
-    """Every window up to this one is fixed, or was given up."""
+    """Every window up to this one is fixed or was abandoned."""
     unsent: dict[int, dict[str, int]] = {}
-    """Fixed counts by window and account, as far as they are not known to be delivered."""
+    """Fixed counts by window and account that are not known to be delivered."""
 
     def without(self, window: int) -> UsageState:
-        """Return the state after a window's counts were delivered."""
+        """Return the state after the delivery of a window's counts."""
         unsent = {each: counts for each, counts in self.unsent.items() if each != window}
         return UsageState(self.fixed_through, unsent)
 
 
 def encode_state(state: UsageState) -> bytes:
-    """Return a state as it stands in the log."""
+    """Encode a state for the log."""
     return msgspec.json.encode(state)
 
 
 def decode_state(data: bytes) -> UsageState | None:
-    """Read a state; None where the duty has not begun.
+    """Decode a state; None if the duty has not begun.
 
     Raises:
-        UsageStateError: It cannot be read.
+        UsageStateError: It cannot be decoded.
     """
     if not data:
         return None
@@ -59,20 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageTerms:
-    """What the operator asks of usage reports."""
+    """The operator's requirements for usage reports."""
 
     window: timedelta
     due_after: timedelta
     """Time from a window's end until its report is due."""
 
     def is_late(self, window: int, unix_time: float) -> bool:
-        """Return whether a window's report is past due."""
+        """Return whether a window's report is overdue."""
         end = (window + 1) * self.window.total_seconds()
         return unix_time > end + self.due_after.total_seconds()
 
 
 PATIENCE_PART = 0.35
-"""Part of the time until a report is due for which an entry's missing counts are waited for."""
+"""Fraction of the time until a report is due during which missing counts of an entry are
+awaited."""
 
 
 class UsageWindows:
@@ -85,12 +86,12 @@
     def next_state(
         self, state: UsageState | None, unix_time: float, senders: frozenset[str]
     ) -> UsageState | None:
-        """Return the state with the windows that can be fixed now; None where there is none.
+        """Return the state with all windows that can be fixed now, or None if there are none.
 
         Args:
-            state: What is fixed so far.
+            state: The windows fixed so far.
             unix_time: The true time.
-            senders: The entries whose counts belong to a window.
+            senders: The entries whose counts are expected.
         """
         first = self._ledger.first_window
         if first is None:
@@ -111,7 +112,7 @@
         return UsageState(max(fixed), {window: unsent[window] for window in kept})
 
     def next_to_send(self, unsent: Mapping[int, dict[str, int]], unix_time: float) -> int | None:
-        """Return the window to send next: the oldest that is not late, else the oldest."""
+        """Return the window to send next: the oldest that is not late, otherwise the oldest."""
         return min(
             unsent,
             key=lambda window: (self._terms.is_late(window, unix_time), window),
