--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
@@ -18,18 +18,18 @@
     from .placement_question import PlacementQuestion
     from .routing_table import EngineTraits
 
-HOME_ADVANTAGE = 0.12
+HOME_PREFERENCE_SECONDS = 0.12
 """Seconds by which another engine's first event must be earlier to move a session away from its
 home engine: reading the shared parts again delays other requests there."""
 
-EQUAL_WITHIN = 0.03
+EQUAL_WITHIN_SECONDS = 0.03
 """Difference in seconds of first event within which engines count as equal."""
 
-LEAST_FETCHED_TOKENS = 1_000
+MINIMUM_FETCHED_TOKENS = 1_000
 """Minimum number of tokens to fetch from another engine's KV cache. Reading 1,000 tokens takes
 20 ms, as long as a fetch may take including its round trip."""
 
-CROWDED_RUN = 0.002
+RUNNING_REQUEST_PENALTY = 0.002
 """Penalty in seconds for each request that runs on an engine."""
 
 
@@ -79,8 +79,10 @@
         after_by_id = {each.id: self._first_event_after(each) for each in fitting}
         earliest = min(after_by_id.values())
         best = self._home(fitting) if at_home else None
-        if best is None or after_by_id[best.id] > earliest + HOME_ADVANTAGE:
-            equal = [each for each in fitting if after_by_id[each.id] <= earliest + EQUAL_WITHIN]
+        if best is None or after_by_id[best.id] > earliest + HOME_PREFERENCE_SECONDS:
+            equal = [
+                each for each in fitting if after_by_id[each.id] <= earliest + EQUAL_WITHIN_SECONDS
+            ]
             best = min(equal, key=lambda each: self._preference(each, at_home=at_home))
         after = after_by_id[best.id]
         if at_home and after > self.question.latency_target:
@@ -96,9 +98,9 @@
         budget, span = self._budget, self.question.pause_target
         if budget is None or span is None:
             return list(engines)
-        return [each for each in engines if self._is_within(each, budget, span)]
+        return [each for each in engines if self._is_within_budget(each, budget, span)]
 
-    def _is_within(self, engine: BackendServer, budget: float, span: float) -> bool:
+    def _is_within_budget(self, engine: BackendServer, budget: float, span: float) -> bool:
         load = self._load(engine)
         planned = load.reading_within(span, self._now)
         if planned <= 0.0:
@@ -107,24 +109,24 @@
             planned + counted_seconds(load.reading_seconds(self.reading(engine)), budget) <= budget
         )
 
-    def quiet(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
+    def within_allowance(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
         """Return the engines that can read the prompt without exceeding the reading allowance.
 
         An engine reads prompts that arrive together in one go. They are therefore sent one after
         another, as the engine finishes what it was sent, while the latency target leaves time.
         """
-        return [each for each in engines if self._is_quiet(each)]
+        return [each for each in engines if self._is_within_allowance(each)]
 
-    def _is_quiet(self, engine: BackendServer) -> bool:
+    def _is_within_allowance(self, engine: BackendServer) -> bool:
         """Return whether the prompt and the pending prefill fit into the reading allowance.
 
         A short prompt always fits on an engine without pending prefill.
         """
         load = self._load(engine)
-        going_on = load.reading_within(self.question.shortest_pause or 0.0, self._now)
-        if going_on <= 0.0 and not self.question.prompt.is_long:
+        pending = load.reading_within(self.question.shortest_pause or 0.0, self._now)
+        if pending <= 0.0 and not self.question.prompt.is_long:
             return True
-        return going_on + load.reading_seconds(self.reading(engine)) <= (
+        return pending + load.reading_seconds(self.reading(engine)) <= (
             self.question.reading_allowance
         )
 
@@ -136,7 +138,7 @@
             return alone
         kept_there = self._fetchable_by_id[self._source.id]
         seconds = self._traits.fetch_seconds(kept_there - kept)
-        if kept_there - kept < LEAST_FETCHED_TOKENS or seconds is None:
+        if kept_there - kept < MINIMUM_FETCHED_TOKENS or seconds is None:
             return alone
         return PromptReading(max(1, tokens - kept_there), self._source, seconds)
 
@@ -146,7 +148,7 @@
         Ties are broken in the same way in every entry.
         """
         most = max(self._fetchable_by_id.values(), default=0)
-        if most < LEAST_FETCHED_TOKENS:
+        if most < MINIMUM_FETCHED_TOKENS:
             return None
         sources = [each for each in engines if self._fetchable_by_id[each.id] == most]
         return min(sources, key=lambda each: rank(self.question.prompt.session, each.id))
@@ -175,26 +177,26 @@
         load = self._load(engine)
         reading, urgency = self.reading(engine), self.question.urgency
         after = load.first_event_after(reading, self._now, urgency, self._stretch)
-        return after + _crowding(load)
+        return after + _running_penalty(load)
 
 
-def place_long(
+def place_long_prompt(
     choice: EngineChoice, short: Sequence[BackendServer], long: Sequence[BackendServer]
 ) -> Placed | NoRoom:
     lane = long or short
     found = choice.best(choice.within_budget(lane), at_home=True)
     if isinstance(found, Placed) or not long:
         return found
-    quiet = choice.quiet(short)
-    if quiet:
-        found = choice.best(quiet, at_home=True)
+    within_allowance = choice.within_allowance(short)
+    if within_allowance:
+        found = choice.best(within_allowance, at_home=True)
     if isinstance(found, Placed) or choice.question.may_wait:
         return found
     return choice.best(lane, at_home=True)
 
 
-def _crowding(load: EngineLoad) -> float:
-    return CROWDED_RUN * load.running
+def _running_penalty(load: EngineLoad) -> float:
+    return RUNNING_REQUEST_PENALTY * load.running
 
 
 def earlier(first: Placed | NoRoom, second: Placed | NoRoom) -> Placed | NoRoom:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/admission_queue.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/admission_queue.py
@@ -15,12 +15,12 @@
 from .queue_order import (
     Waiter,
     due_at,
+    latest_first_event,
     may_wait,
-    must_give_up,
-    place_until,
+    must_refuse,
     queue_order,
+    refuse_after,
     retry_after_of,
-    waits_until,
 )
 from .rate_limits import RateLimits
 
@@ -103,7 +103,7 @@
 
     def enter(self, request: WaitingRequest, now: Instant) -> None:
         """Add a request to the queue."""
-        unread = self._placement.arrived(self._question(request, now), now)
+        unread = self._placement.count_arrival(self._question(request, now), now)
         self._unread_by_ticket[request.ticket] = unread
         self._waiting[request.ticket] = request
 
@@ -143,7 +143,7 @@
         ordered = sorted(considered, key=lambda each: queue_order(each.waiter, now))
         decisions: list[Granted | Rejected] = []
         self._share = share
-        self._forget_bounds()
+        self._clear_bounds()
         for request in ordered:
             decision = self._decide(request, traits, engines_for(request), now)
             if decision is not None:
@@ -158,23 +158,23 @@
         engines: Sequence[BackendServer],
         now: Instant,
     ) -> Granted | Rejected | None:
-        until = waits_until(request.waiter, self._due(request), is_long=request.prompt.is_long)
-        if traits is None or not engines or must_give_up(request.waiter, until, now):
+        until = refuse_after(request.waiter, self._due(request), is_long=request.prompt.is_long)
+        if traits is None or not engines or must_refuse(request.waiter, until, now):
             return self._reject(request, no_engine=traits is None or not engines, now=now)
         engines = self._limits.admitting(engines, now, self._share)
         if not engines:
             return None
         question = self._question(request, now)
         unread = self._unread_by_ticket[request.ticket]
-        if not request.avoid and self._is_hopeless(question, unread, engines, traits, now):
+        if not request.avoid and self._cannot_be_placed(question, unread, engines, traits, now):
             return None
         found = self._placement.place(question, engines, traits, now)
         if isinstance(found, NoRoom):
             return None
-        self._forget_bounds()
+        self._clear_bounds()
         return self._grant(request, found, traits, now)
 
-    def _is_hopeless(
+    def _cannot_be_placed(
         self,
         question: PlacementQuestion,
         unread: int,
@@ -200,9 +200,9 @@
         if planned is None:
             planned = self._placement.least_planned(question, engines, traits, now)
             self._least_planned_by_urgency[question.urgency] = planned
-        return not planned.may_take(question, unread)
+        return not planned.may_fit(question, unread)
 
-    def _forget_bounds(self) -> None:
+    def _clear_bounds(self) -> None:
         self._earliest_by_urgency.clear()
         self._least_planned_by_urgency.clear()
 
@@ -232,12 +232,14 @@
 
     def _due(self, request: WaitingRequest) -> Instant:
         waiter = request.waiter
-        alone = self._placement.alone(self._service, request.prompt, waiter.urgency)
-        return due_at(waiter, alone)
+        first_event_when_idle = self._placement.first_event_when_idle(
+            self._service, request.prompt, waiter.urgency
+        )
+        return due_at(waiter, first_event_when_idle)
 
     def _question(self, request: WaitingRequest, now: Instant) -> PlacementQuestion:
         waiter = request.waiter
-        target = place_until(waiter, self._due(request)) - now
+        target = latest_first_event(waiter, self._due(request)) - now
         return PlacementQuestion(
             self._service,
             request.prompt,
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_trust.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_trust.py
@@ -15,18 +15,18 @@
 FAILURE_WEIGHT = 0.25
 """Weight of the newest outcome in the failure rate: about the last six calls count."""
 
-DOUBTFUL_RATE = 0.4
+EXCLUSION_FAILURE_RATE = 0.4
 """Failure rate from which a backend server is excluded. Two failures in a row reach it. Healthy
 plain services fail up to one lookup in seven."""
 
-FIRST_REST = 1.0
+INITIAL_EXCLUSION_SECONDS = 1.0
 """Duration of the first exclusion in seconds. It doubles with each further failure."""
 
-LONGEST_REST = 8.0
+MAXIMUM_EXCLUSION_SECONDS = 8.0
 """Maximum duration of an exclusion in seconds: a server that has recovered is used again within
 it."""
 
-LARGEST_RESTING_SHARE = 0.5
+MAXIMUM_EXCLUDED_SHARE = 0.5
 """Largest fraction of a service that may be excluded at a time. Beyond it the service as a whole
 is failing, and exclusion would only move the load to the remaining servers."""
 
@@ -34,8 +34,8 @@
 @dataclass(slots=True)
 class _Record:
     failure_rate: float = 0.0
-    rest: float = FIRST_REST
-    resting_until: Instant = 0.0
+    exclusion_seconds: float = INITIAL_EXCLUSION_SECONDS
+    excluded_until: Instant = 0.0
 
 
 class BackendTrust:
@@ -47,7 +47,7 @@
         False
         >>> trust.failed("i-1", now=0.1)
         True
-        >>> trust.is_resting("i-1", now=0.5), trust.is_resting("i-1", now=2.0)
+        >>> trust.is_excluded("i-1", now=0.5), trust.is_excluded("i-1", now=2.0)
         (True, False)
     """
 
@@ -60,29 +60,29 @@
         if record is None:
             return
         record.failure_rate *= 1 - FAILURE_WEIGHT
-        record.rest = max(FIRST_REST, record.rest / 2)
+        record.exclusion_seconds = max(INITIAL_EXCLUSION_SECONDS, record.exclusion_seconds / 2)
 
     def failed(self, backend_id: str, now: Instant) -> bool:
         """Record a failed call and return whether the backend server is excluded from now on."""
         record = self._by_id.setdefault(backend_id, _Record())
         record.failure_rate += FAILURE_WEIGHT * (1 - record.failure_rate)
-        if record.failure_rate < DOUBTFUL_RATE or now < record.resting_until:
+        if record.failure_rate < EXCLUSION_FAILURE_RATE or now < record.excluded_until:
             return False
-        record.resting_until = now + record.rest
-        record.rest = min(LONGEST_REST, 2 * record.rest)
+        record.excluded_until = now + record.exclusion_seconds
+        record.exclusion_seconds = min(MAXIMUM_EXCLUSION_SECONDS, 2 * record.exclusion_seconds)
         return True
 
-    def is_resting(self, backend_id: str, now: Instant) -> bool:
+    def is_excluded(self, backend_id: str, now: Instant) -> bool:
         """Return whether a backend server is currently excluded."""
         record = self._by_id.get(backend_id)
-        return record is not None and now < record.resting_until
+        return record is not None and now < record.excluded_until
 
     def trusted(self, backends: Sequence[BackendServer], now: Instant) -> Sequence[BackendServer]:
         """Return the servers that are not excluded, or all if too many are excluded."""
-        trusted = [each for each in backends if not self.is_resting(each.id, now)]
-        if len(trusted) < (1 - LARGEST_RESTING_SHARE) * len(backends):
+        available_backends = [each for each in backends if not self.is_excluded(each.id, now)]
+        if len(available_backends) < (1 - MAXIMUM_EXCLUDED_SHARE) * len(backends):
             return backends
-        return trusted
+        return available_backends
 
     def forget(self, backend_id: str) -> None:
         """Remove a backend server that is gone or has restarted."""
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/engine_load.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/engine_load.py
@@ -34,13 +34,13 @@
 """Fraction of an engine that a request leaves free for each rank that is more urgent than its
 own."""
 
-MOST_RESERVED = 0.125
+MAXIMUM_RESERVED = 0.125
 """Maximum fraction of an engine that requests of any rank leave free."""
 
 SENDS_KEPT = 64
 """Number of recent sends kept to compute the prefill within one pause."""
 
-CACHE_PART = 0.8
+CACHE_FRACTION = 0.8
 """Fraction of an engine's memory assumed to hold shared parts besides running requests."""
 
 
@@ -104,7 +104,7 @@
     """When the engine last finished reading a prompt, or began to read after being idle."""
 
     def __post_init__(self) -> None:
-        self.cache = PartCache(int(self.traits.memory_tokens * CACHE_PART))
+        self.cache = PartCache(int(self.traits.memory_tokens * CACHE_FRACTION))
 
     def kept_tokens(self, prompt: Prompt) -> int:
         """Return the tokens of a prompt that this engine has probably cached."""
@@ -119,7 +119,7 @@
         ahead = self._unread.seconds(urgency)
         if ahead <= 0.0:
             return 0.0
-        return max(0.0, ahead - self._begun_reading(now))
+        return max(0.0, ahead - self._current_reading_seconds(now))
 
     def reading_within(self, span: float, now: Instant) -> float:
         """Return the seconds of prefill that fall into the same pause as a new prompt.
@@ -135,7 +135,7 @@
             sent += seconds
         return max(sent, self.backlog(now))
 
-    def _begun_reading(self, now: Instant) -> float:
+    def _current_reading_seconds(self, now: Instant) -> float:
         """Return the seconds spent on the current prompt, at most the mean pending time."""
         longest = self._unread.seconds() / max(1, self._unread.prompts)
         return min(now - self._progress_at, longest)
@@ -178,17 +178,17 @@
         arrives at a full engine, the engine preempts another request and has to read its prompt
         again.
         """
-        return self.running < ceil(self.traits.slots * self._open_part(urgency))
+        return self.running < ceil(self.traits.slots * self._open_fraction(urgency))
 
     def fits(self, prompt: Prompt, urgency: int) -> bool:
         """Return whether a slot and the memory for a request are probably free."""
         if not self.has_slot(urgency):
             return False
-        open_memory = self.traits.memory_tokens * self._open_part(urgency)
+        open_memory = self.traits.memory_tokens * self._open_fraction(urgency)
         return self.memory_tokens + prompt.memory_tokens <= open_memory
 
-    def _open_part(self, urgency: int) -> float:
-        return 1.0 - min(MOST_RESERVED, urgency * RESERVED_PER_RANK)
+    def _open_fraction(self, urgency: int) -> float:
+        return 1.0 - min(MAXIMUM_RESERVED, urgency * RESERVED_PER_RANK)
 
     def begin(
         self,
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/feed_watch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/feed_watch.py
@@ -35,10 +35,10 @@
 WATCHER_SILENCE = 1.0
 """Seconds without a status from any watcher after which an entry reads the store itself."""
 
-TAKE_OVER_STEP = 0.005
+TAKEOVER_STEP = 0.005
 """Additional delay in seconds for each entry that ranks before this one as a watcher."""
 
-LONGEST_TAKE_OVER = 0.2
+MAXIMUM_TAKEOVER_DELAY = 0.2
 """Maximum delay in seconds before an entry takes over."""
 
 STORE_SILENCE = 2.5
@@ -52,10 +52,10 @@
 PROBE_RETRY = 0.4
 """Maximum seconds between retries of the entries that probe an unavailable store for all."""
 
-TURNED_AWAY_RETRY = 1.0
+REJECTED_RETRY = 1.0
 """Maximum seconds between retries while other entries reach the store. The store rejects only
-this entry, and more frequent retries would not change that. The entry's guarantees apply again 3
-s after the rejection ends."""
+this entry, and more frequent retries would not change that. The entry's guarantees apply again
+from 3 s after the rejection ends."""
 
 IDLE_RETRY = 3.0
 """Maximum seconds between retries of the other entries while no entry reaches the store. They
@@ -69,7 +69,7 @@
 RETURN_SPREAD = 1.5
 """Seconds within which all entries reach the store again after the first one does."""
 
-DOUBT_DISCOUNTED_FOR = 3.0
+RETURN_GRACE = 3.0
 """Seconds after a peer's return from silence during which its uncertainty about removals is
 ignored."""
 
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class _PeerNews:
+class _PeerState:
     heard_at: Instant
     hears_store: bool
     returned_at: Instant | None = None
@@ -97,9 +97,9 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._peers_by_name: dict[str, _PeerNews] = {}
+        self._peers_by_name: dict[str, _PeerState] = {}
         self._position_by_feed: dict[str, int] = {}
-        self._told_by_feed: dict[str, tuple[int, Instant]] = {}
+        self._peer_position_by_feed: dict[str, tuple[int, Instant]] = {}
         self._heard_store_at: Instant | None = None
         self._heard_at_by_feed: dict[str, Instant] = {}
         self._unsure_until: Instant = 0.0
@@ -159,18 +159,18 @@
         returned_at = before.returned_at if before is not None else None
         if before is not None and now - before.heard_at >= PEER_SILENCE:
             returned_at = now
-        if returned_at is None or now - returned_at >= DOUBT_DISCOUNTED_FOR:
+        if returned_at is None or now - returned_at >= RETURN_GRACE:
             self.outage_over(now + unsure_for)
         # Entries that rely on watchers regularly report that they do not reach the store. It has
         # come back only if no other entry reached it before.
         if hears_store and before is not None and not self._peers(now, hearing=True):
             self._regained_at = now
-        self._peers_by_name[peer] = _PeerNews(now, hears_store, returned_at)
-        self._note_in_history(now, hears_store=hears_store)
+        self._peers_by_name[peer] = _PeerState(now, hears_store, returned_at)
+        self._record_in_history(now, hears_store=hears_store)
         for feed, position in positions_by_feed.items():
-            known, _ = self._told_by_feed.get(feed, (-1, 0.0))
+            known, _ = self._peer_position_by_feed.get(feed, (-1, 0.0))
             if position > known:
-                self._told_by_feed[feed] = (position, now)
+                self._peer_position_by_feed[feed] = (position, now)
 
     def is_watcher(self, now: Instant) -> bool:
         """Return whether this entry should read with short waits.
@@ -183,7 +183,7 @@
     def retry_limit(self, now: Instant) -> float:
         """Return the maximum seconds until the next attempt while the store does not answer."""
         if self._peers(now, hearing=True):
-            return TURNED_AWAY_RETRY
+            return REJECTED_RETRY
         probes = self._is_among_first(self._peers(now, hearing=False))
         return PROBE_RETRY if probes else IDLE_RETRY
 
@@ -191,9 +191,9 @@
         """Return whether an outage that this entry observed may have affected all entries.
 
         It did not if a peer reached the store meanwhile: the store then rejected only this
-        entry. It did not if no peer was heard at all: this entry was then cut off. Reports that
-        arrive just before this entry reaches the store again are ignored, because peers may have
-        reached it slightly earlier.
+        entry. It did not if none of the known peers was heard meanwhile: this entry was then cut
+        off. Reports that arrive just before this entry reaches the store again are ignored,
+        because peers may have reached it slightly earlier.
 
         Args:
             lost_at: When this entry lost the store.
@@ -208,7 +208,7 @@
             return False
         return bool(meanwhile)
 
-    def _note_in_history(self, now: Instant, *, hears_store: bool) -> None:
+    def _record_in_history(self, now: Instant, *, hears_store: bool) -> None:
         for at, hears in reversed(self._history):
             if now - at > HISTORY_INTERVAL:
                 break
@@ -224,8 +224,8 @@
         """Return the other live entries, or only those that reach the store."""
         return [
             name
-            for name, news in self._peers_by_name.items()
-            if now - news.heard_at < PEER_SILENCE and (news.hears_store or not hearing)
+            for name, peer in self._peers_by_name.items()
+            if now - peer.heard_at < PEER_SILENCE and (peer.hears_store or not hearing)
         ]
 
     def _is_among_first(self, names: list[str]) -> bool:
@@ -237,20 +237,20 @@
 
     def is_behind(self, feed: str, now: Instant) -> bool:
         """Return whether others have been ahead in a feed for longer than an answer takes."""
-        position, told_at = self._told_by_feed.get(feed, (-1, 0.0))
-        return position > self._position_by_feed.get(feed, -1) and now - told_at > BEHIND_FOR
+        position, reported_at = self._peer_position_by_feed.get(feed, (-1, 0.0))
+        return position > self._position_by_feed.get(feed, -1) and now - reported_at > BEHIND_FOR
 
     def records_behind(self, feed: str) -> int:
         """Return how many records of a feed other entries have read and this one has not."""
-        position, _ = self._told_by_feed.get(feed, (-1, 0.0))
+        position, _ = self._peer_position_by_feed.get(feed, (-1, 0.0))
         return max(0, position - self._position_by_feed.get(feed, position))
 
     def follows(self, now: Instant) -> bool:
         """Return whether this entry may rely on live watchers instead of reading the store."""
         recent = (
-            now - news.heard_at < WATCHER_SILENCE
-            for news in self._peers_by_name.values()
-            if news.hears_store
+            now - peer.heard_at < WATCHER_SILENCE
+            for peer in self._peers_by_name.values()
+            if peer.hears_store
         )
         return any(recent) and not self.is_watcher(now)
 
@@ -261,4 +261,4 @@
     def take_over_delay(self, now: Instant) -> float:
         """Return the seconds to wait so that better-ranked entries can take over first."""
         ahead = self._ahead(self._peers(now, hearing=False))
-        return min(LONGEST_TAKE_OVER, TAKE_OVER_STEP * ahead)
+        return min(MAXIMUM_TAKEOVER_DELAY, TAKEOVER_STEP * ahead)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/first_event_stretch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/first_event_stretch.py
@@ -7,11 +7,11 @@
 LEARNING_GAIN = 0.08
 """Weight of a new sample in the averages: about the last twelve samples count."""
 
-PRIOR = 0.3
+INITIAL_AVERAGE_SECONDS = 0.3
 """Initial value of both averages in seconds, equal to a ratio of 1, so that the first sample
 alone does not decide."""
 
-SHORTEST_PREDICTION = 0.05
+MINIMUM_PREDICTION_SECONDS = 0.05
 """Predictions below this many seconds are ignored: network latency dominates them."""
 
 STRETCH_BOUNDS = (0.7, 3.0)
@@ -36,8 +36,8 @@
     """
 
     def __init__(self) -> None:
-        self._predicted = [PRIOR] * (LEAST_URGENT_TIER + 1)
-        self._actual = [PRIOR] * (LEAST_URGENT_TIER + 1)
+        self._predicted = [INITIAL_AVERAGE_SECONDS] * (LEAST_URGENT_TIER + 1)
+        self._actual = [INITIAL_AVERAGE_SECONDS] * (LEAST_URGENT_TIER + 1)
 
     def factor(self, urgency: int) -> float:
         """Return the factor to apply to predicted seconds of an urgency."""
@@ -52,7 +52,7 @@
             predicted: Seconds of prefill ahead of its first event, its own included.
             actual: Observed seconds to the first event.
         """
-        if predicted < SHORTEST_PREDICTION:
+        if predicted < MINIMUM_PREDICTION_SECONDS:
             return
         self._predicted[urgency] += LEARNING_GAIN * (predicted - self._predicted[urgency])
         self._actual[urgency] += LEARNING_GAIN * (max(0.0, actual) - self._actual[urgency])
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/lanes.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/lanes.py
@@ -21,10 +21,10 @@
 
     from .backend_list import BackendServer
 
-MEMORY = 8.0
+WORK_DECAY_SECONDS = 8.0
 """Time constant in seconds of the exponential decay of past work: about the length of a burst."""
 
-SHORT_READING = 0.5
+MAXIMUM_SHORT_PREFILL_SHARE = 0.5
 """Largest fraction of an engine's time that prefill of short prompts may take. Prompts that
 arrive within the time of one event are read in the same pause, so engines with a higher load
 exceed the pause target by chance."""
@@ -36,14 +36,14 @@
 of the others.
 """
 
-SLOTS_FILLED = 1.25
+TARGET_SLOT_RATIO = 1.25
 """Target ratio of running short requests to slots in the short lane. The remaining capacity
 takes new requests until the split has changed."""
 
-SHORTEST_VIEW = 1.0
+MINIMUM_OBSERVATION_SECONDS = 1.0
 """Minimum seconds of observation for a rate: shorter ones are dominated by chance."""
 
-SPARE = 0.25
+ROUNDING_TOLERANCE = 0.25
 """Fraction of an engine by which the computed share may exceed a whole number before another
 engine is added."""
 
@@ -58,7 +58,7 @@
         self.updated_at = now
 
     def at(self, now: Instant) -> float:
-        return self.amount * exp(-max(0.0, now - self.updated_at) / MEMORY)
+        return self.amount * exp(-max(0.0, now - self.updated_at) / WORK_DECAY_SECONDS)
 
 
 def rank(key: str, backend_id: str) -> int:
@@ -83,7 +83,7 @@
     def __init__(self) -> None:
         self._short = _Work()
         self._long = _Work()
-        self._began_at: Instant | None = None
+        self._observed_since: Instant | None = None
         self.tokens_per_second = 0.0
         """Prompt tokens that one engine reads per second; 0 if unknown."""
         self.short_running = 0
@@ -93,7 +93,7 @@
 
     def count(self, unread_tokens: int, *, is_long: bool, now: Instant) -> None:
         """Add the prefill work of a request that asks for an engine."""
-        self._begin(now)
+        self._start_observation(now)
         (self._long if is_long else self._short).add(unread_tokens, now)
 
     def short_engines(self, engines: int, slots: int, now: Instant) -> int:
@@ -108,21 +108,25 @@
             return engines
         if short <= 0.0:
             return 0
-        for_work = ceil(engines * short / total - SPARE)
-        for_slots = ceil(self.short_running / (SLOTS_FILLED * slots))
+        for_work = ceil(engines * short / total - ROUNDING_TOLERANCE)
+        for_slots = ceil(self.short_running / (TARGET_SLOT_RATIO * slots))
         return min(engines - 1, max(1, for_work, for_slots, self._for_reading(now)))
 
     def _for_reading(self, now: Instant) -> int:
-        """Return the engines needed to keep prefill of short prompts below SHORT_READING."""
-        if not self.tokens_per_second or self._began_at is None:
+        """Return the engines needed to keep prefill of short prompts within its time share."""
+        if not self.tokens_per_second or self._observed_since is None:
             return 0
-        seen_for = max(SHORTEST_VIEW, now - self._began_at)
-        rate = self._short.at(now) / (MEMORY * (1 - exp(-seen_for / MEMORY)))
-        return ceil(rate / (SHORT_READING * self.tokens_per_second) - SPARE)
-
-    def _begin(self, now: Instant) -> None:
-        if self._began_at is None:
-            self._began_at = now
+        observed_for = max(MINIMUM_OBSERVATION_SECONDS, now - self._observed_since)
+        rate = self._short.at(now) / (
+            WORK_DECAY_SECONDS * (1 - exp(-observed_for / WORK_DECAY_SECONDS))
+        )
+        return ceil(
+            rate / (MAXIMUM_SHORT_PREFILL_SHARE * self.tokens_per_second) - ROUNDING_TOLERANCE
+        )
+
+    def _start_observation(self, now: Instant) -> None:
+        if self._observed_since is None:
+            self._observed_since = now
 
     def split(
         self, engines: Sequence[BackendServer], service: str, slots: int, now: Instant
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/peer_status.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/peer_status.py
@@ -69,7 +69,7 @@
         self._candidates = candidates
         self._fleet_time = fleet_time
         self._limits = limits if limits is not None else RateLimits()
-        self._limits_told = 0
+        self._announced_limits = 0
         self._schedules_since: Instant | None = None
         self._sent: PeerStatus | None = None
         self._sent_at: Instant = 0.0
@@ -91,11 +91,11 @@
         watches = status.hears_store and self._watch.is_watcher(now)
         interval = WATCHER_INTERVAL if watches else STATUS_INTERVAL
         is_recent = sent is not None and now - self._sent_at < interval
-        is_recent = is_recent and self._limits_told == self._limits.news
-        if is_recent and self._acted_on(status, now) == self._acted_on(sent, now):
+        is_recent = is_recent and self._announced_limits == self._limits.urgent_changes
+        if is_recent and self._urgent_values(status, now) == self._urgent_values(sent, now):
             return None
         self._sent, self._sent_at = status, now
-        self._limits_told = self._limits.news
+        self._announced_limits = self._limits.urgent_changes
         return status
 
     def status(self, now: Instant) -> PeerStatus:
@@ -133,7 +133,7 @@
         if status.unix_time is not None:
             self._fleet_time.hear(status.sender, status.unix_time)
 
-    def _acted_on(self, status: PeerStatus | None, now: Instant) -> tuple[object, ...]:
+    def _urgent_values(self, status: PeerStatus | None, now: Instant) -> tuple[object, ...]:
         """Return the values that other entries react to at once; the rest may be a second old."""
         if status is None:
             return ()
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement.py
@@ -5,7 +5,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from ._engine_choice import EngineChoice, earlier, place_long
+from ._engine_choice import EngineChoice, earlier, place_long_prompt
 from .engine_load import (
     FIRST_EVENT_OVERHEAD,
     INITIAL_TOKENS_PER_SECOND,
@@ -26,7 +26,7 @@
     from .prompt_parts import Prompt
     from .routing_table import EngineTraits
 
-BORROW_BEYOND = 0.5
+BORROW_BEYOND_FRACTION = 0.5
 """Fraction of the latency target beyond which short prompts may also use engines for long
 prompts."""
 
@@ -72,7 +72,7 @@
         """Return the lane split of a service's engines."""
         return self._lanes_by_service.setdefault(service, Lanes())
 
-    def alone(self, service: str, prompt: Prompt, urgency: int) -> float:
+    def first_event_when_idle(self, service: str, prompt: Prompt, urgency: int) -> float:
         """Return the seconds to the first event on an idle engine without cached parts."""
         rate = self._tokens_per_second(service) or INITIAL_TOKENS_PER_SECOND
         stretch = self.stretch(service).factor(urgency)
@@ -110,15 +110,15 @@
 
         Returns None if prefill is not limited.
         """
-        part = self._prefill_budget(question.service, question.urgency).part(now)
-        if part is None or question.pause_target is None:
+        fraction = self._prefill_budget(question.service, question.urgency).fraction(now)
+        if fraction is None or question.pause_target is None:
             return None
-        return part * question.pause_target
+        return fraction * question.pause_target
 
     def _prefill_budget(self, service: str, urgency: int) -> PrefillBudget:
         return self._budgets.setdefault((service, urgency), PrefillBudget())
 
-    def arrived(self, question: PlacementQuestion, now: Instant) -> int:
+    def count_arrival(self, question: PlacementQuestion, now: Instant) -> int:
         """Count the prefill that a request leaves to an engine as work for the lane split.
 
         Cached shared parts do not count. If they did, engines would be reserved for long prompts
@@ -206,12 +206,12 @@
             budget=self.budget_seconds(question, now),
         )
         if question.prompt.is_long:
-            return place_long(choice, short, long)
+            return place_long_prompt(choice, short, long)
         if question.may_wait and short:
-            quiet = choice.quiet(short)
-            return choice.best(quiet, at_home=False) if quiet else NoRoom(None)
+            quiet_engines = choice.within_allowance(short)
+            return choice.best(quiet_engines, at_home=False) if quiet_engines else NoRoom(None)
         found = choice.best(short or long, at_home=False)
-        limit = question.latency_target * BORROW_BEYOND
+        limit = question.latency_target * BORROW_BEYOND_FRACTION
         if not long or (isinstance(found, Placed) and found.first_event_after <= limit):
             return found
         return earlier(found, choice.best(long, at_home=False))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement_question.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement_question.py
@@ -8,7 +8,7 @@
 from .engine_load import PromptReading
 from .prompt_parts import Prompt
 
-READING_PART = 0.5
+READING_FRACTION = 0.5
 """Fraction of the shortest pause target that may be spent on prefill in one go next to the
 streams with that target. The rest of the pause is for the tokens of their event and for prompts
 that another entry sends meanwhile."""
@@ -16,7 +16,7 @@
 READING_ALLOWANCE = 0.1
 """Seconds of prefill in one go if no pause target is configured."""
 
-LARGE_PROMPT_PART = 0.5
+MAXIMUM_PROMPT_SHARE = 0.5
 """Maximum fraction of the budget that a single prompt is counted with."""
 
 
@@ -45,7 +45,7 @@
         """Seconds of prefill in one go that the most sensitive streams tolerate."""
         if self.shortest_pause is None:
             return READING_ALLOWANCE
-        return READING_PART * self.shortest_pause
+        return READING_FRACTION * self.shortest_pause
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     budget: float | None
     """Seconds of prefill within the request's own pause target; None if not limited."""
 
-    def may_take(self, question: PlacementQuestion, unread: int) -> bool:
+    def may_fit(self, question: PlacementQuestion, unread: int) -> bool:
         """Return whether an engine might take a long prompt within the limits of its streams.
 
         Args:
@@ -100,4 +100,4 @@
     The value is capped: a prompt that exceeds the budget by itself would otherwise only ever fit
     an idle engine.
     """
-    return min(seconds, LARGE_PROMPT_PART * budget)
+    return min(seconds, MAXIMUM_PROMPT_SHARE * budget)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/queue_order.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/queue_order.py
@@ -7,30 +7,30 @@
 
 from ragwortwing_policy.clock import Instant
 
-RESERVE = 0.3
+PREDICTION_MARGIN = 0.3
 """Fraction of the latency target kept between the predicted first event and the target. In a
 burst every placement uses all the time it may. Without this margin for prediction errors, half
 of the placements are slightly late, while engines with shorter queues read as much."""
 
-LARGE_WAIT = 0.9
+LARGE_PROMPT_WAIT = 0.9
 """Fraction of its latency target that a request may wait in addition to the prefill time of its
 own prompt."""
 
-LAST_CALL = 0.25
+REFUSAL_LEAD_SECONDS = 0.25
 """Seconds before its deadline at which a request that has not been placed is refused: an engine
 needs longer than that for the shortest answer."""
 
-LATE_PATIENCE = 2.0
+LATE_WAIT_TARGETS = 2.0
 """Multiple of its latency target that a short prompt waits beyond the target for a free engine."""
 
-EARLY_PART = 0.4
+EARLY_FRACTION = 0.4
 """Fraction of the latency target during which a short prompt may wait for a better placement."""
 
-EARLY_PART_LONG = 0.5
+EARLY_FRACTION_LONG = 0.5
 """The same fraction for a long prompt. Past it, an engine that is late with its tokens serves
 the caller better than no engine."""
 
-SHORTEST_RETURN = timedelta(milliseconds=200)
+MINIMUM_RETRY_DELAY = timedelta(milliseconds=200)
 """Minimum delay after which a refused caller is asked to retry."""
 
 
@@ -64,7 +64,7 @@
     return (waiter.urgency, not waiter.resumed, late, waiter.deadline if late else waiter.target_at)
 
 
-def due_at(waiter: Waiter, alone: float) -> Instant:
+def due_at(waiter: Waiter, first_event_when_idle: float) -> Instant:
     """Return until when a request's first event is worth waiting for.
 
     Smaller prompts keep the backlog of every engine just below their own limit. A prompt whose
@@ -73,29 +73,31 @@
 
     Args:
         waiter: The waiting request.
-        alone: Seconds to its first event on an otherwise idle engine.
+        first_event_when_idle: Seconds to its first event on an otherwise idle engine.
     """
     target = waiter.target_at - waiter.arrived_at
-    return max(waiter.target_at, waiter.arrived_at + alone + LARGE_WAIT * target)
+    return max(
+        waiter.target_at, waiter.arrived_at + first_event_when_idle + LARGE_PROMPT_WAIT * target
+    )
 
 
-def place_until(waiter: Waiter, due: Instant) -> Instant:
+def latest_first_event(waiter: Waiter, due: Instant) -> Instant:
     """Return the latest predicted first event that a placement may have.
 
     A retried request may have less time left than its latency target, and an answer that begins
     after the deadline is useless.
     """
-    reserve = RESERVE * (waiter.target_at - waiter.arrived_at)
-    return min(due - reserve, waiter.deadline - LAST_CALL)
+    margin = PREDICTION_MARGIN * (waiter.target_at - waiter.arrived_at)
+    return min(due - margin, waiter.deadline - REFUSAL_LEAD_SECONDS)
 
 
 def may_wait(waiter: Waiter, now: Instant, *, is_long: bool = False) -> bool:
     """Return whether a request is early enough to wait for a better placement."""
-    part = EARLY_PART_LONG if is_long else EARLY_PART
-    return now < waiter.arrived_at + part * (waiter.target_at - waiter.arrived_at)
+    fraction = EARLY_FRACTION_LONG if is_long else EARLY_FRACTION
+    return now < waiter.arrived_at + fraction * (waiter.target_at - waiter.arrived_at)
 
 
-def waits_until(waiter: Waiter, due: Instant, *, is_long: bool) -> Instant:
+def refuse_after(waiter: Waiter, due: Instant, *, is_long: bool) -> Instant:
     """Return when a request that has not been placed is refused.
 
     A long prompt is placed only where it is not late. In a burst new requests take every engine,
@@ -105,12 +107,12 @@
     """
     if is_long:
         return due
-    return due + LATE_PATIENCE * (waiter.target_at - waiter.arrived_at)
+    return due + LATE_WAIT_TARGETS * (waiter.target_at - waiter.arrived_at)
 
 
-def must_give_up(waiter: Waiter, until: Instant, now: Instant) -> bool:
+def must_refuse(waiter: Waiter, until: Instant, now: Instant) -> bool:
     """Return whether a waiting request is unlikely to be placed in time."""
-    if now >= waiter.deadline - LAST_CALL:
+    if now >= waiter.deadline - REFUSAL_LEAD_SECONDS:
         return True
     return not waiter.resumed and now > until
 
@@ -118,6 +120,6 @@
 def retry_after_of(waiter: Waiter, now: Instant) -> timedelta | None:
     """Return when a refused caller should retry, or None if too little time is left."""
     left = waiter.deadline - now
-    if left <= 2 * LAST_CALL:
+    if left <= 2 * REFUSAL_LEAD_SECONDS:
         return None
-    return max(SHORTEST_RETURN, timedelta(seconds=left / 4))
+    return max(MINIMUM_RETRY_DELAY, timedelta(seconds=left / 4))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/rate_limits.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/rate_limits.py
@@ -16,14 +16,14 @@
 
     from .backend_list import BackendServer
 
-HOLD = 2.0
+MINIMUM_HOLD_SECONDS = 2.0
 """Minimum seconds for which a limit stays in force after an answer has announced it: not every
 answer announces it, and answers may arrive out of order."""
 
-USED_PART = 0.9
+USED_FRACTION = 0.9
 """Fraction of a limit that is used: requests do not arrive as evenly as they are sent."""
 
-LEAST_RATE = 0.25
+MINIMUM_RATE = 0.25
 """Requests per second that a server is sent under any limit: only its answers show that a limit
 has ended."""
 
@@ -33,10 +33,10 @@
 NOTICE_LIFETIME = 5.0
 """Seconds for which an observation is included in statuses."""
 
-FALL = 0.8
+ANNOUNCED_FALL_RATIO = 0.8
 """Fraction of the last announced rate below which a new rate is announced at once."""
 
-MOMENT = 1e-6
+WAIT_TOLERANCE = 1e-6
 """Waits up to this many seconds count as zero."""
 
 
@@ -58,7 +58,7 @@
     filled_at: Instant
     own: bool
     """Whether this entry has observed the limit, as opposed to a peer."""
-    told_rate: float | None = None
+    announced_rate: float | None = None
     """Last rate that was announced to peers at once; None if there was none."""
 
 
@@ -82,7 +82,7 @@
 
     def __init__(self) -> None:
         self._by_id: dict[str, _Limit] = {}
-        self.news = 0
+        self.urgent_changes = 0
         """Increases with each change that peers should be told at once."""
 
     @property
@@ -108,13 +108,13 @@
         if rate is None:
             if known is None or known.rate is None:
                 return
-            if sent_at <= known.named_at or now - known.named_at < HOLD:
+            if sent_at <= known.named_at or now - known.named_at < MINIMUM_HOLD_SECONDS:
                 return
-        known = self._note(backend_id, rate, now, own=True)
-        told = known.told_rate
-        if rate is None or told is None or rate < FALL * told:
-            known.told_rate = rate
-            self.news += 1
+        known = self._record(backend_id, rate, now, own=True)
+        announced = known.announced_rate
+        if rate is None or announced is None or rate < ANNOUNCED_FALL_RATIO * announced:
+            known.announced_rate = rate
+            self.urgent_changes += 1
 
     def hear(self, backend_id: str, notice: LimitNotice, now: Instant) -> None:
         """Record a limit observed by a peer, unless this entry knows a later observation."""
@@ -123,7 +123,7 @@
         if known is not None and named_at <= known.named_at:
             return
         if known is not None or notice.rate is not None:
-            self._note(backend_id, notice.rate, named_at, own=False)
+            self._record(backend_id, notice.rate, named_at, own=False)
 
     def notices(self, now: Instant) -> Mapping[str, LimitNotice]:
         """Return the limits that this entry has observed recently."""
@@ -152,10 +152,10 @@
         known = self._by_id.get(backend_id)
         if known is None or known.rate is None:
             return 0.0
-        pace = share * max(LEAST_RATE, USED_PART * known.rate)
+        pace = share * max(MINIMUM_RATE, USED_FRACTION * known.rate)
         _fill(known, pace, now)
         wait = (1.0 - known.tokens) / pace
-        return wait if wait > MOMENT else 0.0
+        return wait if wait > WAIT_TOLERANCE else 0.0
 
     def spend(self, backend_id: str) -> None:
         """Record a request that is sent to a backend server."""
@@ -167,7 +167,9 @@
         """Remove a backend server that is gone or has restarted."""
         self._by_id.pop(backend_id, None)
 
-    def _note(self, backend_id: str, rate: float | None, named_at: Instant, *, own: bool) -> _Limit:
+    def _record(
+        self, backend_id: str, rate: float | None, named_at: Instant, *, own: bool
+    ) -> _Limit:
         known = self._by_id.get(backend_id)
         if known is None or known.rate is None:
             known = self._by_id[backend_id] = _Limit(rate, named_at, 0.0, named_at, own)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/repeat_budget.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/repeat_budget.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from ragwortwing_policy.clock import Instant
 
-USED_PART = 0.8
+USED_FRACTION = 0.8
 """Fraction of the allowance that is used: the rest covers sends that the receiver counts later."""
 
 
@@ -52,14 +52,14 @@
     def count_request(self, now: Instant) -> None:
         """Record the first send of a request."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
     def left(self, now: Instant) -> float:
         """Return the number of repeats that may be sent now."""
-        self._forget(now)
+        self._drop_expired(now)
         allowance = self._allowance
         extra = allowance.extra / self.entries if self.entries else 0.0
-        allowed = USED_PART * (allowance.ratio * len(self._requests) + extra)
+        allowed = USED_FRACTION * (allowance.ratio * len(self._requests) + extra)
         return allowed - len(self._repeats)
 
     def try_spend(self, now: Instant) -> bool:
@@ -69,7 +69,7 @@
         self._repeats.append(now)
         return True
 
-    def _forget(self, now: Instant) -> None:
+    def _drop_expired(self, now: Instant) -> None:
         since = now - self._allowance.window.total_seconds()
         for times in (self._requests, self._repeats):
             while times and times[0] < since:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/routing_table.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/routing_table.py
@@ -48,7 +48,8 @@
     timeout: timedelta
     """Maximum time until the whole answer."""
     latency_target: timedelta
-    """Target time to the answer, or to the first event of a stream."""
+    """Target time to the answer, or to the first event of a stream; only answers within it get
+    full credit."""
     tier: int
     maximum_sends: int
     """Maximum number of sends of one request."""
@@ -108,7 +109,7 @@
     idle_timeout: timedelta = timedelta(seconds=15)
 
 
-ALIKE = 1.25
+EQUAL_TARGET_RATIO = 1.25
 """Largest ratio of two pause targets that are treated as equal."""
 
 
@@ -132,9 +133,9 @@
 
         Returns None if the pause targets do not distinguish streams.
         """
-        if target is None or self.longest <= self.shortest * ALIKE:
+        if target is None or self.longest <= self.shortest * EQUAL_TARGET_RATIO:
             return None
-        return target > self.shortest * ALIKE
+        return target > self.shortest * EQUAL_TARGET_RATIO
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_ledger.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_ledger.py
@@ -69,14 +69,14 @@
         self, pool: str, sender: str, started: int, ticket: str, backend_id: str, now: Instant
     ) -> None:
         """Record a grant to another entry; the engine's load already includes it."""
-        known = self._sender(pool, sender, started, now)
-        known.heard_at = now
-        known.runs_by_ticket[ticket] = _Run(backend_id, now)
+        state = self._sender(pool, sender, started, now)
+        state.heard_at = now
+        state.runs_by_ticket[ticket] = _Run(backend_id, now)
 
     def is_reported(self, pool: str, sender: str, ticket: str) -> bool:
         """Return whether an entry has reported a run or its end."""
-        known = self._senders_by_pool.get((pool, sender))
-        run = known.runs_by_ticket.get(ticket) if known is not None else None
+        state = self._senders_by_pool.get((pool, sender))
+        run = state.runs_by_ticket.get(ticket) if state is not None else None
         return run is None or run.reported
 
     def take(self, report: RunReport, now: Instant) -> bool:
@@ -88,19 +88,19 @@
         sender.heard_at = now
         changed = bool(report.ended)
         for run in report.runs:
-            changed |= self._take_run(report, sender, run, now)
+            changed |= self._process_run(report, sender, run, now)
         for ended in report.ended:
-            self._take_end(report.sender, sender, ended, now)
+            self._process_end(report.sender, sender, ended, now)
         if report.whole:
             named = {each.ticket for each in report.runs}
-            changed |= self._end_unnamed(report.sender, sender, named, now)
+            changed |= self._end_missing(report.sender, sender, named, now)
         return changed
 
     def withdraw(self, pool: str, sender: str, ticket: str, now: Instant) -> None:
         """Revoke a grant that its entry does not use."""
-        known = self._senders_by_pool.get((pool, sender))
-        if known is not None:
-            self._end(sender, known, ticket, now)
+        state = self._senders_by_pool.get((pool, sender))
+        if state is not None:
+            self._end(sender, state, ticket, now)
 
     def expire(self, now: Instant) -> tuple[str, ...]:
         """Drop silent entries and unused grants; return the names of the silent entries."""
@@ -117,25 +117,27 @@
         return tuple(silent)
 
     def _sender(self, pool: str, name: str, started: int, now: Instant) -> _Sender:
-        known = self._senders_by_pool.get((pool, name))
-        if known is not None and started > known.started:
+        state = self._senders_by_pool.get((pool, name))
+        if state is not None and started > state.started:
             self._drop(pool, name, now)
-            known = None
-        if known is None:
-            known = self._senders_by_pool[pool, name] = _Sender(started, now)
-        return known
-
-    def _take_run(self, report: RunReport, sender: _Sender, run: ReportedRun, now: Instant) -> bool:
-        known = sender.runs_by_ticket.get(run.ticket)
-        if known is None:
+            state = None
+        if state is None:
+            state = self._senders_by_pool[pool, name] = _Sender(started, now)
+        return state
+
+    def _process_run(
+        self, report: RunReport, sender: _Sender, run: ReportedRun, now: Instant
+    ) -> bool:
+        known_run = sender.runs_by_ticket.get(run.ticket)
+        if known_run is None:
             return self._adopt(report, sender, run, now)
-        known.reported = True
+        known_run.reported = True
         if not run.is_read:
             return False
         key = run_key(report.sender, run.ticket)
         if run.exceeded:
-            self._placement.pause_exceeded(known.backend_id, key, now)
-        return self._placement.first_event(known.backend_id, key, now) is not None
+            self._placement.pause_exceeded(known_run.backend_id, key, now)
+        return self._placement.first_event(known_run.backend_id, key, now) is not None
 
     def _adopt(self, report: RunReport, sender: _Sender, run: ReportedRun, now: Instant) -> bool:
         """Add a run that another scheduler or the entry itself has placed."""
@@ -156,14 +158,14 @@
         sender.runs_by_ticket[run.ticket] = _Run(run.backend_id, now, reported=True)
         return True
 
-    def _take_end(self, name: str, sender: _Sender, ended: EndedRun, now: Instant) -> None:
+    def _process_end(self, name: str, sender: _Sender, ended: EndedRun, now: Instant) -> None:
         self._end(name, sender, ended.ticket, now)
         if ended.failed:
             self._trust.failed(ended.backend_id, now)
         else:
             self._trust.succeeded(ended.backend_id)
 
-    def _end_unnamed(self, name: str, sender: _Sender, named: set[str], now: Instant) -> bool:
+    def _end_missing(self, name: str, sender: _Sender, named: set[str], now: Instant) -> bool:
         gone = [
             ticket
             for ticket, run in sender.runs_by_ticket.items()
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_report.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_report.py
@@ -89,21 +89,21 @@
     def begin(self, run: ReportedRun, now: Instant) -> None:
         """Record that a request is sent to an engine."""
         self._runs_by_ticket[run.ticket] = _OwnRun(run, now)
-        self._note_change(run.ticket)
+        self._record_change(run.ticket)
 
     def first_event(self, ticket: str) -> None:
         """Record that an engine has read a request's prompt."""
         own = self._runs_by_ticket.get(ticket)
         if own is not None and not own.run.is_read:
             own.run = replace(own.run, is_read=True)
-            self._note_change(ticket)
+            self._record_change(ticket)
 
     def pause_exceeded(self, ticket: str) -> None:
         """Record that a stream had a pause longer than its target."""
         own = self._runs_by_ticket.get(ticket)
         if own is not None and not own.run.exceeded:
             own.run = replace(own.run, exceeded=True)
-            self._note_change(ticket)
+            self._record_change(ticket)
 
     def end(self, ticket: str, *, failed: bool) -> None:
         """Record that a request is no longer on its engine."""
@@ -137,7 +137,7 @@
         """Return all runs for a receiver without state; pending changes stay pending."""
         return self._numbered(list(self._runs_by_ticket), (), now, whole=True)
 
-    def _note_change(self, ticket: str) -> None:
+    def _record_change(self, ticket: str) -> None:
         self._changed[ticket] = None
         self._changed_since_whole = True
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
@@ -22,7 +22,7 @@
 """Minimum uptime in seconds before an entry is preferred: until then it does not know which
 requests are running."""
 
-LEAST_CAPACITY = 0.5
+MINIMUM_CAPACITY_RATIO = 0.5
 """Minimum capacity of a scheduler as a fraction of the largest candidate's capacity."""
 
 CHOICE_LIFETIME = 0.1
@@ -111,7 +111,7 @@
             return known[1], known[2]
         ready = [each for each in self._candidates(now) if self._is_alive(each, now)]
         largest = max((each.capacity for each in ready), default=0.0)
-        ready = [each for each in ready if each.capacity >= LEAST_CAPACITY * largest]
+        ready = [each for each in ready if each.capacity >= MINIMUM_CAPACITY_RATIO * largest]
         ready.sort(key=lambda each: rank(pool, each.name))
         settled = [each for each in ready if each.uptime + now - each.heard_at >= SETTLED_AFTER]
         ranked = (_names(settled or ready), _names(ready))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/candidates.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/candidates.py
@@ -39,7 +39,7 @@
         self._can_hold = False
         self._heard_at_by_peer: dict[str, Instant] = {}
         self._offset_by_duty: dict[str, int] = {}
-        self._able: set[str] = set()
+        self._able_peers: set[str] = set()
 
     @property
     def can_hold(self) -> bool:
@@ -64,9 +64,9 @@
         """Process a peer's status."""
         self._heard_at_by_peer[peer] = now
         if can_hold:
-            self._able.add(peer)
+            self._able_peers.add(peer)
         else:
-            self._able.discard(peer)
+            self._able_peers.discard(peer)
 
     def alive(self, now: Instant, silence: float = PEER_SILENCE) -> frozenset[str]:
         """Return the peers that have been heard recently.
@@ -80,7 +80,7 @@
 
     def ranked(self, duty: str, now: Instant) -> tuple[str, ...]:
         """Return the candidates for a duty, most preferred first."""
-        names = self._able & self.alive(now)
+        names = self._able_peers & self.alive(now)
         if self._can_hold:
             names = names | {self._name}
         return tuple(sorted(names, key=lambda name: rank(duty, name)))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/duty_record.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/duty_record.py
@@ -57,7 +57,9 @@
     except msgspec.MsgspecError as error:
         raise DutyRecordError(str(error)) from error
     if record.format != FORMAT:
-        raise DutyRecordError(f"format {record.format} is not known")
+        raise DutyRecordError(f"unsupported record format {record.format}")
     if not 0 < record.fencing_token <= offset + 1:
-        raise DutyRecordError(f"token {record.fencing_token} at offset {offset}")
+        raise DutyRecordError(
+            f"fencing token {record.fencing_token} is impossible at offset {offset}"
+        )
     return record
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_windows.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_windows.py
@@ -71,7 +71,7 @@
         return unix_time > end + self.due_after.total_seconds()
 
 
-PATIENCE_PART = 0.35
+MISSING_COUNTS_WAIT_FRACTION = 0.35
 """Fraction of the time until a report is due during which missing counts of an entry are
 awaited."""
 
@@ -123,5 +123,5 @@
         if not self._ledger.missing(window, senders):
             return True
         end = (window + 1) * self._terms.window.total_seconds()
-        patience = PATIENCE_PART * self._terms.due_after.total_seconds()
-        return unix_time > end + patience
+        wait = MISSING_COUNTS_WAIT_FRACTION * self._terms.due_after.total_seconds()
+        return unix_time > end + wait
--- a/packages/ragwortwing-policy/tests/direct/builders.py
+++ b/packages/ragwortwing-policy/tests/direct/builders.py
@@ -1,4 +1,4 @@
-"""Small builders for the tests of the direct entry's decisions."""
+"""Builders of engines and prompts for the tests of the direct entry's policy."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-policy/tests/direct/test_backend_list.py
+++ b/packages/ragwortwing-policy/tests/direct/test_backend_list.py
@@ -1,4 +1,4 @@
-"""The list of backend servers through changes and outages."""
+"""The list of backend servers across changes and outages of the store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .builders import engines
 
 
-def test_leaving_servers_take_nothing_new_and_stay_known() -> None:
+def test_leaving_servers_stay_listed_but_get_no_new_requests() -> None:
     backends = BackendList()
     first, second = engines(2)
     backends.put(first)
@@ -19,10 +19,10 @@
     assert set(backends.by_id) == {"i-0", "i-1"}
 
 
-def test_a_missing_server_is_kept_until_its_time_is_over() -> None:
-    """The store comes back and no longer lists an engine: its entry lapsed in the outage.
+def test_a_missing_server_is_kept_until_its_deadline() -> None:
+    """Guards against removing a live engine whose registration expired in an outage.
 
-    It keeps its place for a while; a second word that it is missing does not lengthen that.
+    The first report that it is missing sets its deadline; a second one does not extend it.
     """
     backends = BackendList()
     backends.put(engines(1)[0])
--- a/packages/ragwortwing-policy/tests/direct/test_backend_trust.py
+++ b/packages/ragwortwing-policy/tests/direct/test_backend_trust.py
@@ -1,23 +1,23 @@
-"""Backend servers that fail are passed over, and found again."""
+"""Backend servers whose calls fail are excluded for a while and then used again."""
 
 from __future__ import annotations
 
-from ragwortwing_policy.direct.backend_trust import LONGEST_REST, BackendTrust
+from ragwortwing_policy.direct.backend_trust import MAXIMUM_EXCLUSION_SECONDS, BackendTrust
 
 from .builders import engines
 
 
-def test_a_server_whose_health_is_good_and_whose_answers_fail_is_passed_over() -> None:
-    """An engine fails most requests while its health check passes; only calls show it."""
+def test_a_server_with_failing_calls_is_excluded() -> None:
+    """Guards against an engine that fails most requests while its health check passes."""
     trust = BackendTrust()
     servers = engines(4)
-    for moment in range(3):
-        trust.failed("i-0", moment / 10)
+    for tick in range(3):
+        trust.failed("i-0", tick / 10)
     assert [each.id for each in trust.trusted(servers, 0.3)] == ["i-1", "i-2", "i-3"]
 
 
-def test_single_failures_among_successes_rest_nobody() -> None:
-    """A desk fails one lookup in seven when it is well."""
+def test_occasional_failures_do_not_exclude_a_server() -> None:
+    """Guards against the exclusion of a healthy plain service that fails one lookup in seven."""
     trust = BackendTrust()
     for number in range(70):
         if number % 7 == 0:
@@ -26,33 +26,33 @@
             trust.succeeded("i-0")
 
 
-def test_a_service_is_never_emptied() -> None:
-    """All engines fail at once: resting most of them would put the load on the last."""
+def test_exclusion_never_removes_most_of_a_service() -> None:
+    """Guards against excluding most engines when all fail, which moves the load to the last one."""
     trust = BackendTrust()
     servers = engines(4)
     for server in servers[:3]:
-        for moment in range(3):
-            trust.failed(server.id, moment / 10)
+        for tick in range(3):
+            trust.failed(server.id, tick / 10)
     assert trust.trusted(servers, 0.3) == servers
 
 
-def test_rests_grow_to_a_limit_and_shrink_with_success() -> None:
+def test_exclusions_grow_to_a_maximum() -> None:
     trust = BackendTrust()
     now = 0.0
     for _ in range(12):
         trust.failed("i-0", now)
-        while trust.is_resting("i-0", now):
+        while trust.is_excluded("i-0", now):
             now += 0.1
     before = now
     trust.failed("i-0", now)
-    while trust.is_resting("i-0", now):
+    while trust.is_excluded("i-0", now):
         now += 0.1
-    assert LONGEST_REST - 0.2 <= now - before <= LONGEST_REST + 0.2
+    assert MAXIMUM_EXCLUSION_SECONDS - 0.2 <= now - before <= MAXIMUM_EXCLUSION_SECONDS + 0.2
 
 
-def test_a_restarted_server_is_trusted() -> None:
+def test_a_restarted_server_is_not_excluded() -> None:
     trust = BackendTrust()
-    for moment in range(3):
-        trust.failed("i-0", moment / 10)
+    for tick in range(3):
+        trust.failed("i-0", tick / 10)
     trust.forget("i-0")
-    assert not trust.is_resting("i-0", 0.3)
+    assert not trust.is_excluded("i-0", 0.3)
--- a/packages/ragwortwing-policy/tests/direct/test_feed_watch.py
+++ b/packages/ragwortwing-policy/tests/direct/test_feed_watch.py
@@ -1,11 +1,11 @@
-"""Few entries watch the store, and all notice what is new."""
+"""Selection of the watchers that poll the store, and detection of outages and missed records."""
 
 from __future__ import annotations
 
 from ragwortwing_policy.direct.feed_watch import (
     IDLE_RETRY,
     PROBE_RETRY,
-    TURNED_AWAY_RETRY,
+    REJECTED_RETRY,
     WATCHER_SILENCE,
     WATCHERS,
     FeedWatch,
@@ -18,11 +18,13 @@
     watches = {name: FeedWatch(name) for name in NAMES}
     for watch in watches.values():
         watch.reached("operator", 4, now)
-    tell(watches, now)
+    exchange_statuses(watches, now)
     return watches
 
 
-def tell(watches: dict[str, FeedWatch], now: float, silent: frozenset[str] = frozenset()) -> None:
+def exchange_statuses(
+    watches: dict[str, FeedWatch], now: float, silent: frozenset[str] = frozenset()
+) -> None:
     for name, watch in watches.items():
         for peer, other in watches.items():
             if peer != name and name not in silent:
@@ -33,7 +35,7 @@
     return {name for name, watch in watches.items() if watch.is_watcher(now)}
 
 
-def test_three_of_many_watch_and_one_relays() -> None:
+def test_three_entries_watch_and_one_relays() -> None:
     watches = fleet()
     assert len(watchers(watches, 0.1)) == WATCHERS
     following = {name for name, watch in watches.items() if watch.follows(0.1)}
@@ -43,21 +45,21 @@
     assert relays < watchers(watches, 0.1)
 
 
-def test_nobody_follows_watchers_that_are_silent() -> None:
-    """Guards against a fleet that hears of no change for as long as its watchers are thought of."""
+def test_no_entry_relies_on_silent_watchers() -> None:
+    """Guards against a fleet that misses changes because it still relies on failed watchers."""
     watches = fleet()
     assert not any(watch.follows(WATCHER_SILENCE + 0.1) for watch in watches.values())
 
 
-def test_entries_give_way_to_those_that_watch_before_them() -> None:
-    """Guards against a call of every entry at the moment at which the watchers are lost."""
+def test_takeover_delays_differ_by_rank() -> None:
+    """Guards against reads by all entries at once when the watchers fail."""
     watches = fleet()
     delays = sorted(watch.take_over_delay(0.1) for watch in watches.values())
     assert delays[0] == 0.0
     assert len(set(delays)) == len(NAMES)
 
 
-def test_relayed_records_are_no_answer_of_the_store() -> None:
+def test_relayed_records_do_not_count_as_store_answers() -> None:
     watch = FeedWatch("entry-1")
     watch.advanced("operator", 9)
     watch.advanced("operator", 4)
@@ -65,34 +67,35 @@
     assert not watch.hears_store(0.1)
 
 
-def test_an_entry_on_its_own_watches() -> None:
+def test_a_single_entry_is_a_watcher() -> None:
     assert FeedWatch("alone").is_watcher(0.0)
 
 
-def test_others_take_over_from_watchers_that_fall_silent() -> None:
+def test_other_entries_replace_silent_watchers() -> None:
     watches = fleet()
     lost = frozenset(watchers(watches, 0.1))
-    for moment in range(1, 6):
-        now = moment / 2
+    for tick in range(1, 6):
+        now = tick / 2
         for name, watch in watches.items():
             if name not in lost:
                 watch.reached("operator", 4, now)
-        tell(watches, now, silent=lost)
+        exchange_statuses(watches, now, silent=lost)
     assert len(watchers(watches, 2.5) - lost) == WATCHERS
 
 
-def test_in_an_outage_everyone_looks_for_the_stores_return() -> None:
+def test_all_entries_are_watchers_during_an_outage() -> None:
     watches = fleet()
-    for moment in range(1, 8):
-        tell(watches, moment / 2)
+    for tick in range(1, 8):
+        exchange_statuses(watches, tick / 2)
     assert watchers(watches, 3.5) == set(NAMES)
 
 
-def test_an_entry_whose_wait_was_forgotten_learns_that_it_is_behind() -> None:
-    """Something between an entry and the store has lost track of its connection.
+def test_a_stalled_read_is_detected_by_peer_positions() -> None:
+    """Guards against a long-polling read that never ends because a middlebox dropped its
+    connection.
 
-    Its long wait hears nothing. A watcher reads a new configuration and says how far it is; the
-    entry asks again at once, and not while its own answer is merely on the way.
+    A watcher reads a new configuration and reports its position. The other entry then reads
+    again, but not while its own answer may still be on the way.
     """
     watches = fleet()
     one, other = (watches[name] for name in NAMES[:2])
@@ -104,78 +107,82 @@
     assert not other.is_behind("operator", 9.0)
 
 
-def test_an_entry_that_slept_through_an_outage_hears_of_it() -> None:
-    """A removal just after an outage may mean a lapse. An entry whose wait lasted through the whole
-    outage knows of it only from those that noticed."""
+def test_an_unnoticed_outage_is_learned_from_peers() -> None:
+    """Guards against treating an expired registration as a removal. An entry whose read waited
+    through the whole outage learns of the outage only from its peers."""
     watch = FeedWatch("sleeper")
     watch.told("noticed", {}, 10.0, hears_store=True, unsure_for=2.0)
     assert watch.unsure_for(11.5) == 0.5
     assert watch.unsure_for(12.5) == 0.0
 
 
-def test_few_look_for_a_store_that_is_away_and_tell_the_others() -> None:
-    """The store is down for all. If each of 26 entries asked every 0.2 s, they would make 260 calls
-    a second that are paid for; three do, and all hear at once when one of them is answered."""
+def test_few_entries_probe_an_unavailable_store() -> None:
+    """Guards against needless calls during an outage. If each of 26 entries retried every 0.2 s,
+    they would make 260 billed calls a second. Three entries retry, and all are notified when one
+    is answered."""
     watches = fleet()
-    for moment in range(1, 8):
-        tell(watches, moment / 2)
+    for tick in range(1, 8):
+        exchange_statuses(watches, tick / 2)
     limits = sorted(watch.retry_limit(3.5) for watch in watches.values())
     assert limits == [PROBE_RETRY] * WATCHERS + [IDLE_RETRY] * (len(NAMES) - WATCHERS)
     prober = next(name for name, watch in watches.items() if watch.retry_limit(3.5) == PROBE_RETRY)
     watches[prober].reached("operator", 4, 3.6)
-    tell(watches, 3.7)
+    exchange_statuses(watches, 3.7)
     assert all(watch.regained_since(3.5) for name, watch in watches.items() if name != prober)
 
 
-def test_an_entry_that_the_store_turns_away_asks_less_often() -> None:
-    """The store serves most entries and refuses one; asking often would bring it nothing."""
+def test_a_rejected_entry_retries_less_often() -> None:
+    """Guards against frequent retries by the only entry that the store rejects."""
     watches = fleet()
     refused = NAMES[0]
-    for moment in range(1, 8):
+    for tick in range(1, 8):
         for name, watch in watches.items():
             if name != refused:
-                watch.reached("operator", 4, moment / 2)
-        tell(watches, moment / 2)
-    assert watches[refused].retry_limit(3.5) == TURNED_AWAY_RETRY
+                watch.reached("operator", 4, tick / 2)
+        exchange_statuses(watches, tick / 2)
+    assert watches[refused].retry_limit(3.5) == REJECTED_RETRY
     assert not watches[refused].regained_since(1.0)
 
 
-def test_an_entry_on_its_own_looks_for_the_store_itself() -> None:
+def test_a_single_entry_probes_the_store() -> None:
     assert FeedWatch("alone").retry_limit(100.0) == PROBE_RETRY
 
 
-def test_a_store_that_served_the_others_was_not_away() -> None:
-    """One entry is cut from the store for 6 s while all others hear it. No server's line lapsed
-    meanwhile; taken for an outage of all, a server that leaves now would be kept for 2.5 s."""
+def test_a_partition_of_one_entry_is_no_outage() -> None:
+    """Guards against a partition of one entry that is taken for an outage of the store. The
+    entry is cut off for 6 s while its peers reach the store, so no registration expired.
+    Otherwise a server that leaves now would be kept for 2.5 s."""
     watches = fleet()
     cut = NAMES[0]
-    for moment in range(1, 13):
+    for tick in range(1, 13):
         for name, watch in watches.items():
             if name != cut:
-                watch.reached("operator", 4, moment / 2)
-        tell(watches, moment / 2)
+                watch.reached("operator", 4, tick / 2)
+        exchange_statuses(watches, tick / 2)
     assert not watches[cut].was_for_all(lost_at=0.5, now=6.0)
 
 
-def test_an_outage_of_all_is_one_for_whoever_hears_the_store_last() -> None:
-    """The store is down for 6 s. One entry is answered first and tells the others; for those that
-    are answered next it must not look as if the store had served it all the while."""
+def test_an_outage_is_recognized_by_the_last_entry_to_recover() -> None:
+    """Guards against an outage that looks like a rejection to the entries answered last. The
+    store is down for 6 s, and one entry reaches it first and reports that. The others must not
+    conclude that the store served that entry all the time."""
     watches = fleet()
-    for moment in range(1, 13):
-        tell(watches, moment / 2)
+    for tick in range(1, 13):
+        exchange_statuses(watches, tick / 2)
     first, *others = NAMES
     assert watches[first].was_for_all(lost_at=0.5, now=6.1)
     watches[first].reached("operator", 4, 6.1)
-    tell(watches, 6.2)
+    exchange_statuses(watches, 6.2)
     assert all(watches[name].was_for_all(lost_at=0.5, now=6.3) for name in others)
 
 
-def test_an_entry_cut_off_from_everyone_does_not_take_that_for_an_outage() -> None:
-    """Guards against a leaving server kept for seconds by entries that come back from a cut."""
+def test_a_fully_isolated_entry_infers_no_outage() -> None:
+    """Guards against leaving servers that are kept for seconds by entries returning from a
+    partition."""
     watches = fleet()
     cut = NAMES[0]
-    for moment in range(1, 17):
-        now = moment / 2
+    for tick in range(1, 17):
+        now = tick / 2
         for name, watch in watches.items():
             if name != cut:
                 watch.reached("operator", 4, now)
@@ -186,24 +193,24 @@
     assert not watches[cut].was_for_all(lost_at=2.0, now=8.5)
 
 
-def test_an_entry_that_the_store_turned_away_while_others_took_turns_to_hear_it() -> None:
-    """Guards against an outage seen in the gap between two watchers that the store serves."""
+def test_a_gap_between_two_watchers_is_no_outage() -> None:
+    """Guards against an outage inferred from the gap between two watchers that the store serves."""
     watch = FeedWatch("entry-1")
-    for moment in range(20):
-        now = moment / 2
+    for tick in range(20):
+        now = tick / 2
         watch.told("before", {}, now, hears_store=now < 4.0)
         watch.told("after", {}, now, hears_store=now > 6.0)
     assert not watch.was_for_all(lost_at=1.0, now=9.6)
 
 
-def test_a_short_outage_counts_as_one_for_all() -> None:
+def test_a_short_outage_counts_as_fleet_wide() -> None:
     watches = fleet()
     assert watches[NAMES[0]].was_for_all(lost_at=0.5, now=2.0)
 
 
-def test_the_doubt_of_an_entry_that_was_cut_off_is_its_own() -> None:
-    """An entry comes back from behind a cut and says that removals may stem from an outage. The
-    others heard the store all the time, and a server that leaves now gets no more work."""
+def test_uncertainty_of_an_isolated_entry_is_ignored() -> None:
+    """Guards against uncertainty spread by an entry that returns from a partition. The others
+    reached the store all the time, so a server that leaves now must get no more requests."""
     watch = FeedWatch("entry-1")
     watch.told("entry-2", {}, 0.0, hears_store=True)
     watch.told("entry-2", {}, 1.0, hears_store=True, unsure_for=2.5)
@@ -215,14 +222,14 @@
     assert watch.unsure_for(6.1) == 0.0
 
 
-def test_a_long_wait_that_ends_is_no_return_of_the_store() -> None:
-    """All is well. An entry that waits long for news says between two answers that it does not hear
-    the store, and then that it does; taken for a return, one that the store turns away would ask
-    it again each time, and take its own loss for an outage of all."""
+def test_the_end_of_a_long_poll_is_no_return_of_the_store() -> None:
+    """Guards against long-polling peers that appear to regain the store. Between two answers
+    such a peer reports that it does not reach the store, and then that it does. If that counted
+    as a return, a rejected entry would retry each time and take its own loss for an outage."""
     watch = FeedWatch("entry-1")
-    for moment in range(20):
-        now = moment / 2
+    for tick in range(20):
+        now = tick / 2
         watch.told("watcher", {}, now, hears_store=True)
-        watch.told("waits-long", {}, now, hears_store=moment % 5 == 0)
+        watch.told("waits-long", {}, now, hears_store=tick % 5 == 0)
     assert not watch.regained_since(0.6)
     assert not watch.was_for_all(lost_at=1.0, now=9.6)
--- a/packages/ragwortwing-policy/tests/direct/test_peer_status.py
+++ b/packages/ragwortwing-policy/tests/direct/test_peer_status.py
@@ -1,4 +1,4 @@
-"""Statuses: sent each second, and at once where others act on what has changed."""
+"""Statuses are sent every second, and at once if a value changes that peers react to."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     assert book.due(STATUS_INTERVAL) is not None
 
 
-def test_a_stop_is_told_at_once() -> None:
-    """Guards against a scheduler that leaves and is asked for another second."""
+def test_a_stop_is_announced_at_once() -> None:
+    """Guards against a scheduler that has stopped and is asked for another second."""
     leaving, other = Entry("a", capacity=9.0), Entry("b")
     leaving.book.schedules(0.0, can_schedule=True)
     status = leaving.book.due(0.0)
@@ -41,8 +41,8 @@
     assert other.choice.scheduler("engines", 0.2) is None
 
 
-def test_a_watchers_position_is_told_at_once() -> None:
-    """Guards against entries that learn of a new configuration a second later than one of them."""
+def test_a_watchers_position_is_announced_at_once() -> None:
+    """Guards against entries that learn of a new configuration a second after the watcher."""
     entry = Entry("a")
     entry.watch.reached("operator", 4, 0.0)
     assert entry.book.due(0.0) is not None
@@ -52,7 +52,7 @@
     assert status.positions_by_feed == {"operator": 5}
 
 
-def test_a_regained_store_is_told_at_once() -> None:
+def test_a_regained_store_is_announced_at_once() -> None:
     entry, other = Entry("a"), Entry("b")
     entry.book.due(0.0)
     entry.watch.reached("operator", 4, 0.1)
@@ -63,7 +63,7 @@
     assert other.watch.is_behind("operator", 1.0)
 
 
-def test_an_entrys_own_status_that_comes_back_changes_nothing() -> None:
+def test_an_entry_ignores_its_own_status() -> None:
     entry = Entry("a")
     entry.book.schedules(0.0, can_schedule=True)
     entry.book.take(entry.book.status(0.0), 0.0)
--- a/packages/ragwortwing-policy/tests/direct/test_repeat_budget.py
+++ b/packages/ragwortwing-policy/tests/direct/test_repeat_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's budget for repeats, spent by entries that do not ask each other."""
+"""The fleet's budget for repeated sends, shared by entries without coordination."""
 
 from __future__ import annotations
 
@@ -17,10 +17,9 @@
 
 
 def test_entries_together_stay_within_the_budget() -> None:
-    """A service fails and every entry repeats as much as it may.
+    """Guards against entries that together exceed the fleet's budget when a service fails.
 
-    Each looks only at its own requests and its part of the extra, and still the sum over all
-    entries is what the whole fleet may send.
+    Each entry considers only its own requests and its share of the extra.
     """
     spent = 0
     for _ in range(26):
@@ -33,7 +32,7 @@
     assert spent > 0.5 * ALLOWANCE.ratio * 26 * 40
 
 
-def test_nothing_of_the_extra_is_used_while_the_entries_are_not_counted() -> None:
+def test_the_extra_is_unused_while_the_entry_count_is_unknown() -> None:
     budget = RepeatBudget(ALLOWANCE)
     budget.count_request(0.0)
     assert spend_all(budget, 0.0) == 0
@@ -41,7 +40,7 @@
     assert spend_all(budget, 0.0) == 8
 
 
-def test_a_spent_budget_comes_back_with_the_window() -> None:
+def test_a_spent_budget_recovers_after_the_window() -> None:
     budget = RepeatBudget(ALLOWANCE)
     budget.entries = 5
     assert spend_all(budget, 0.0) == 8
--- a/packages/ragwortwing-policy/tests/direct/test_run_ledger.py
+++ b/packages/ragwortwing-policy/tests/direct/test_run_ledger.py
@@ -1,4 +1,5 @@
-"""A scheduler that hears of the runs of all entries, over a transport that loses and repeats."""
+"""Run reports of all entries to a scheduler, over a transport that loses and duplicates
+messages."""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 
 
 class Entry:
-    """An entry that reports, and could schedule."""
+    """An entry that sends reports and can act as scheduler."""
 
     def __init__(self, name: str, started: int = 1) -> None:
         self.name = name
@@ -47,8 +48,8 @@
         other.ledger.take(self.reporter.report(now), now)
 
 
-def test_four_entries_do_not_fill_an_engine_four_times() -> None:
-    """Guards against eight requests of each of four entries on an engine of eight slots."""
+def test_several_entries_do_not_overfill_an_engine() -> None:
+    """Guards against four entries that each send eight requests to an engine with eight slots."""
     scheduler = Entry("scheduler")
     entries = [Entry(f"entry-{number}") for number in range(4)]
     placed = 0
@@ -61,7 +62,7 @@
     assert placed == TRAITS.slots
 
 
-def test_a_lost_report_is_made_good_by_the_next_whole_one() -> None:
+def test_a_whole_report_repairs_a_lost_report() -> None:
     sender, receiver = Entry("a"), Entry("b")
     sender.report_to(receiver, 0.0)
     sender.send(20_000, 0.0)
@@ -71,8 +72,8 @@
     assert receiver.load.backlog(0.0) == pytest.approx(sender.load.backlog(0.0), rel=0.01)
 
 
-def test_a_lost_end_is_made_good_by_the_next_whole_report() -> None:
-    """Guards against a slot that counts as taken for good because its end was not heard."""
+def test_a_whole_report_repairs_a_lost_end() -> None:
+    """Guards against a slot that stays occupied because the report of its run's end was lost."""
     sender, receiver = Entry("a"), Entry("b")
     sender.send(500, 0.0)
     sender.report_to(receiver, 0.0)
@@ -94,8 +95,8 @@
     assert receiver.load.running == 1
 
 
-def test_a_report_that_comes_behind_a_newer_one_is_dropped() -> None:
-    """Guards against a run that ends and is counted again from an older report."""
+def test_a_report_older_than_the_last_is_dropped() -> None:
+    """Guards against an ended run that a delayed older report adds again."""
     sender, receiver = Entry("a"), Entry("b")
     sender.send(500, 0.0)
     older = sender.reporter.whole_report(0.0)
@@ -105,7 +106,7 @@
     assert receiver.load.running == 0
 
 
-def test_a_scheduler_that_takes_over_does_not_take_old_work_for_new() -> None:
+def test_a_new_scheduler_does_not_count_finished_prefill() -> None:
     sender, receiver = Entry("a"), Entry("b")
     for number in range(10):
         sender.send(20_000, 0.0)
@@ -117,7 +118,7 @@
     assert receiver.load.tokens_per_second == Entry("c").load.tokens_per_second
 
 
-def test_a_restarted_peer_begins_anew() -> None:
+def test_runs_of_a_restarted_peer_are_dropped() -> None:
     receiver = Entry("b")
     before = Entry("a", started=1)
     before.send(20_000, 0.0)
@@ -132,7 +133,7 @@
 
 
 def test_a_silent_peers_load_is_dropped() -> None:
-    """Guards against slots left empty for the requests of an entry that has lost power."""
+    """Guards against slots reserved for requests of an entry that has lost power."""
     sender, receiver = Entry("a"), Entry("b")
     sender.send(500, 0.0)
     sender.report_to(receiver, 0.0)
@@ -141,7 +142,7 @@
     assert receiver.load.running == 0
 
 
-def test_a_report_between_whole_ones_names_only_what_changed() -> None:
+def test_a_partial_report_contains_only_changes() -> None:
     sender = Entry("a")
     sender.send(500, 0.0)
     assert len(sender.reporter.report(0.0).runs) == 1
@@ -157,8 +158,8 @@
     scheduler.ledger.granted(POOL, sender.name, 1, "r-1", ENGINE.id, now)
 
 
-def test_a_grant_that_is_not_used_is_taken_back() -> None:
-    """Guards against slots held for an entry that died, or never got the grant."""
+def test_an_unused_grant_is_revoked() -> None:
+    """Guards against slots reserved for an entry that died or never received the grant."""
     scheduler, sender = Entry("scheduler"), Entry("a")
     grant(scheduler, sender, 10.0)
     assert not scheduler.ledger.is_reported(POOL, "a", "r-1")
@@ -168,7 +169,7 @@
     assert scheduler.load.running == 0
 
 
-def test_a_grant_that_is_reported_stays_and_counts_once() -> None:
+def test_a_reported_grant_stays_and_counts_once() -> None:
     scheduler, sender = Entry("scheduler"), Entry("a")
     grant(scheduler, sender, 0.0)
     sender.send(500, 0.0)
@@ -178,8 +179,9 @@
     assert scheduler.load.running == 1
 
 
-def test_a_whole_report_on_its_way_does_not_end_a_fresh_grant() -> None:
-    """Guards against a grant that is dropped because its entry's report was made just before."""
+def test_a_whole_report_in_transit_does_not_end_a_new_grant() -> None:
+    """Guards against a grant that is dropped because its entry's whole report was made just
+    before."""
     scheduler, sender = Entry("scheduler"), Entry("a")
     report = sender.reporter.whole_report(0.0)
     grant(scheduler, sender, 0.0)
@@ -187,7 +189,7 @@
     assert scheduler.load.running == 1
 
 
-def test_a_grant_handed_back_frees_its_slot() -> None:
+def test_a_withdrawn_grant_frees_its_slot() -> None:
     scheduler, sender = Entry("scheduler"), Entry("a")
     grant(scheduler, sender, 0.0)
     scheduler.ledger.withdraw(POOL, "a", "r-1", 0.1)
@@ -195,19 +197,20 @@
     assert scheduler.load.running == 0
 
 
-def test_failures_that_different_entries_see_add_up() -> None:
-    """Guards against a failing server that each entry finds out for itself."""
+def test_failures_reported_by_several_entries_add_up() -> None:
+    """Guards against a failing server that each entry has to detect by itself."""
     scheduler = Entry("scheduler")
     for number in range(2):
         sender = Entry(f"entry-{number}")
         sender.send(500, 0.0)
         sender.end(1, 0.1, failed=True)
         sender.report_to(scheduler, 0.1)
-    assert scheduler.trust.is_resting(ENGINE.id, 0.2)
+    assert scheduler.trust.is_excluded(ENGINE.id, 0.2)
 
 
 def test_an_engine_that_reads_slowly_stays_busy() -> None:
-    """Guards against an engine that stalls and looks idle as soon as its reading should be over."""
+    """Guards against a stalled engine that appears idle once its predicted prefill time has
+    passed."""
     sender, receiver = Entry("a"), Entry("b")
     for _ in range(4):
         sender.send(20_000, 0.0)
@@ -222,14 +225,15 @@
 
 
 def test_urgent_prompts_do_not_wait_behind_less_urgent_ones() -> None:
-    """Guards against chats kept from an engine by the reading of drafts that they overtake."""
+    """Guards against chats delayed by the pending prefill of drafts that the engine reads after
+    them."""
     load = Entry("a").load
     load.begin("draft", prompt(20_000), load.reading_of(prompt(20_000)), 0.0, urgency=5)
     assert load.backlog(0.0, urgency=3) == 0.0
     assert load.backlog(0.0, urgency=5) > 0.4
 
 
-def test_a_part_can_be_fetched_once_a_peer_saw_it_read() -> None:
+def test_a_part_can_be_fetched_once_a_peer_reports_it_read() -> None:
     sender, receiver = Entry("a"), Entry("b")
     sender.send(3_000, 0.0)
     sender.report_to(receiver, 0.0)
@@ -239,14 +243,14 @@
     assert receiver.load.read_tokens(prompt(3_000, own="another")) == 100
 
 
-def test_parts_that_a_peer_had_read_are_known() -> None:
+def test_parts_sent_by_a_peer_count_as_cached() -> None:
     sender, receiver = Entry("a"), Entry("b")
     sender.send(3_000, 0.0)
     sender.report_to(receiver, 0.0)
     assert receiver.load.reading_of(prompt(3_000, own="another")).unread_tokens == 2_900
 
 
-def test_a_late_stream_of_another_entry_bounds_prefill() -> None:
+def test_a_late_stream_of_another_entry_limits_prefill() -> None:
     """Guards against a scheduler that learns only from the streams of its own callers."""
     sender, receiver = Entry("a"), Entry("b")
     question = PlacementQuestion(POOL, prompt(500), 0.8, urgency=8, pause_target=0.5)
--- a/packages/ragwortwing-policy/tests/direct/test_scheduler_choice.py
+++ b/packages/ragwortwing-policy/tests/direct/test_scheduler_choice.py
@@ -1,4 +1,4 @@
-"""Entries choose who schedules a pool, each from what it has heard."""
+"""Selection of a pool's scheduler by each entry from the statuses it has received."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return choices
 
 
-def test_all_entries_choose_the_same_one() -> None:
+def test_all_entries_choose_the_same_scheduler() -> None:
     chosen = {choice.scheduler(POOL, 0.0) for choice in fleet(20)}
     assert len(chosen) == 1
 
@@ -57,8 +57,8 @@
     assert choice.scheduler(POOL, 0.0) == "entry-7"
 
 
-def test_a_silent_scheduler_is_replaced_by_the_one_that_was_informed() -> None:
-    """Guards against a takeover by an entry that knows nothing of what runs."""
+def test_a_silent_scheduler_is_replaced_by_an_informed_entry() -> None:
+    """Guards against a successor that does not know the running requests."""
     choice, *_ = fleet(20)
     first = choice.scheduler(POOL, 0.0)
     informed = choice.informed(POOL, 0.0)
@@ -71,7 +71,7 @@
     assert second in informed | {"entry-0"}
 
 
-def test_one_that_does_not_answer_is_passed_over_for_a_while() -> None:
+def test_an_unresponsive_entry_is_temporarily_excluded() -> None:
     *_, choice = fleet(5)
     first = choice.scheduler(POOL, 0.0)
     assert first not in (None, "entry-4")
@@ -84,8 +84,8 @@
     assert choice.scheduler(POOL, 1.3) == first
 
 
-def test_one_that_just_started_is_informed_before_it_schedules() -> None:
-    """Guards against a restarted scheduler that takes its place back without what it knew."""
+def test_a_restarted_entry_is_informed_before_it_schedules() -> None:
+    """Guards against a restarted scheduler that takes over again without its previous knowledge."""
     *_, choice = fleet(5)
     first = choice.scheduler(POOL, 0.0)
     assert first not in (None, "entry-4")
@@ -103,13 +103,13 @@
     assert choice.scheduler(POOL, SETTLED_AFTER + 0.3) == first
 
 
-def test_a_fleet_that_starts_as_a_whole_does_not_wait() -> None:
+def test_a_newly_started_fleet_has_a_scheduler_at_once() -> None:
     choice = SchedulerChoice("entry-0")
     choice.hear(candidate(1, uptime=0.0))
     assert choice.scheduler(POOL, 0.0) == "entry-1"
 
 
-def test_one_that_is_leaving_schedules_nothing() -> None:
+def test_a_leaving_entry_does_not_schedule() -> None:
     choice, *_ = fleet(2)
     choice.withdraw("entry-1")
     assert choice.scheduler(POOL, 0.0) == "entry-0"
--- a/packages/ragwortwing-policy/tests/direct/test_send_state.py
+++ b/packages/ragwortwing-policy/tests/direct/test_send_state.py
@@ -1,4 +1,4 @@
-"""What may follow a send, by what is known of it."""
+"""Whether a request may be sent again after a failed send."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         (("write", "begin_answer", "lose"), True, 1),
     ],
 )
-def test_only_a_send_without_a_byte_or_with_the_servers_word_did_not_run(
+def test_only_unsent_or_declined_sends_did_not_run(
     triggers: tuple[str, ...], may_have_run: bool, sends: int
 ) -> None:
     history = SendHistory().after(send_after(*triggers))
@@ -34,16 +34,14 @@
     assert history.may_send_again(Repetition.IDEMPOTENT, 2)
 
 
-def test_doubt_is_never_forgotten() -> None:
-    """A first send is lost, a second is declined.
-
-    The second's word says nothing of the first: the caller must not be told that nothing ran.
-    """
+def test_an_uncertain_send_stays_uncertain() -> None:
+    """Guards against reporting that a request did not run when its first send was lost and its
+    second was declined: the second answer says nothing about the first send."""
     lost = SendHistory().after(send_after("write", "lose"))
     assert lost.after(send_after("write", "decline")).may_have_run
 
 
-def test_the_routes_bound_counts_sends_and_not_failed_connections() -> None:
+def test_failed_connections_do_not_count_as_sends() -> None:
     history = SendHistory()
     for _ in range(5):
         history = history.after(Send())
