--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/lease.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/lease.py
@@ -144,10 +144,10 @@
         if log.record is None or not log.record.is_of(self._holder.name, self._holder.life):
             self._advance("read_other")
         else:
-            self._find_own(log)
+            self._resolve_own_append(log)
         self._unanswered = [each for each in self._unanswered if each.offset >= log.end]
 
-    def _find_own(self, log: LogState) -> None:
+    def _resolve_own_append(self, log: LogState) -> None:
         """Resolve an unanswered append: its lease runs from when it was proposed."""
         for proposal in self._unanswered:
             if (proposal.offset, proposal.record) == (log.offset, log.record):
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_counts.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_counts.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class _Life:
+class _ProcessCounts:
     first_window: int
     closed_through: int
     counts_by_window: dict[int, Counter[str]] = field(default_factory=dict)
@@ -118,14 +118,16 @@
     """
 
     def __init__(self) -> None:
-        self._lives: dict[tuple[str, int], _Life] = {}
+        self._counts_by_process: dict[tuple[str, int], _ProcessCounts] = {}
 
     def take(self, report: UsageReport) -> None:
         """Merge a report. Counts only increase, so an older report changes nothing."""
         key = (report.sender, report.life)
-        life = self._lives.get(key)
+        life = self._counts_by_process.get(key)
         if life is None:
-            life = self._lives[key] = _Life(report.first_window, report.closed_through)
+            life = self._counts_by_process[key] = _ProcessCounts(
+                report.first_window, report.closed_through
+            )
         life.closed_through = max(life.closed_through, report.closed_through)
         for window, counts in report.counts_by_window.items():
             known = life.counts_by_window.setdefault(window, Counter())
@@ -136,22 +138,28 @@
 
     def forget_before(self, window: int) -> None:
         """Remove the processes whose last complete window is before a window."""
-        for key in [key for key, life in self._lives.items() if life.closed_through < window]:
-            del self._lives[key]
+        for key in [
+            key for key, life in self._counts_by_process.items() if life.closed_through < window
+        ]:
+            del self._counts_by_process[key]
 
     @property
     def first_window(self) -> int | None:
         """The first window for which counts are known, or None."""
-        return min((life.first_window for life in self._lives.values()), default=None)
+        return min((life.first_window for life in self._counts_by_process.values()), default=None)
 
     def missing(self, window: int, senders: frozenset[str]) -> frozenset[str]:
         """Return the entries that have not declared a window's counts complete."""
-        closed = {name for (name, _), life in self._lives.items() if life.closed_through >= window}
+        closed = {
+            name
+            for (name, _), life in self._counts_by_process.items()
+            if life.closed_through >= window
+        }
         return senders - closed
 
     def counts(self, window: int) -> dict[str, int]:
         """Return the number of requests of each account that began in a window."""
         total: Counter[str] = Counter()
-        for life in self._lives.values():
+        for life in self._counts_by_process.values():
             total.update(life.counts_by_window.get(window, {}))
         return dict(sorted(total.items()))
