--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an engine for one request, among those that may be sent to."""
+"""Choice of an engine for one request among the available engines."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     from .placement_question import PlacementQuestion
     from .routing_table import EngineTraits
 
-HOME_ADVANTAGE = 0.12
-"""Seconds of first event by which another engine must be earlier to take a session from its home:
-what is read once more elsewhere delays others there."""
+HOME_PREFERENCE_SECONDS = 0.12
+"""Seconds by which another engine's first event must be earlier to move a session away from its
+home engine: reading the shared parts again delays other requests there."""
 
-EQUAL_WITHIN = 0.03
-"""Seconds of first event within which engines count as equally good."""
+EQUAL_WITHIN_SECONDS = 0.03
+"""Difference in seconds of first event within which engines count as equal."""
 
-LEAST_FETCHED_TOKENS = 1_000
-"""Fewest tokens for which an engine fetches KV cache from another: reading them takes 20 ms, as
-long as a fetch with its way there and back may take."""
+MINIMUM_FETCHED_TOKENS = 1_000
+"""Minimum number of tokens to fetch from another engine's KV cache. Reading 1,000 tokens takes
+20 ms, as long as a fetch may take including its round trip."""
 
-CROWDED_RUN = 0.002
-"""Seconds by which each request that runs on an engine makes it less wanted."""
+RUNNING_REQUEST_PENALTY = 0.002
+"""Penalty in seconds for each request that runs on an engine."""
 
 
 class EngineChoice:
-    """The choice of an engine for one request."""
+    """Compares the available engines for one request."""
 
     def __init__(
         self,
@@ -50,12 +50,12 @@
 
         Args:
             question: The request.
-            load_by_engine: The engines that may be sent to, and their loads.
-            traits: What the configuration tells of them.
-            now: The present instant.
-            stretch: How much longer reading takes than its tokens alone.
-            budget: Seconds of prefill within a pause that streams like the request's stand; None
-                where it is not bounded.
+            load_by_engine: The available engines and their loads.
+            traits: The configured properties of the engines.
+            now: The current instant.
+            stretch: Factor by which prefill takes longer than its tokens alone.
+            budget: Seconds of prefill within a pause that streams like the request's tolerate; None
+                if not limited.
         """
         self.question = question
         self._traits = traits
@@ -71,7 +71,7 @@
         self._source = self._fetch_source(list(load_by_engine))
 
     def best(self, engines: Sequence[BackendServer], *, at_home: bool) -> Placed | NoRoom:
-        """Return the engine with the earliest first event, near enough the session's home."""
+        """Return the engine with the earliest first event, with preference for the home engine."""
         prompt = self.question.prompt
         fitting = [each for each in engines if self._load(each).fits(prompt, self.question.urgency)]
         if not fitting:
@@ -79,8 +79,10 @@
         after_by_id = {each.id: self._first_event_after(each) for each in fitting}
         earliest = min(after_by_id.values())
         best = self._home(fitting) if at_home else None
-        if best is None or after_by_id[best.id] > earliest + HOME_ADVANTAGE:
-            equal = [each for each in fitting if after_by_id[each.id] <= earliest + EQUAL_WITHIN]
+        if best is None or after_by_id[best.id] > earliest + HOME_PREFERENCE_SECONDS:
+            equal = [
+                each for each in fitting if after_by_id[each.id] <= earliest + EQUAL_WITHIN_SECONDS
+            ]
             best = min(equal, key=lambda each: self._preference(each, at_home=at_home))
         after = after_by_id[best.id]
         if at_home and after > self.question.latency_target:
@@ -88,17 +90,17 @@
         return Placed(best, self.reading(best), after)
 
     def within_budget(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
-        """Return the engines on which streams like this one get their events in time.
+        """Return the engines whose prefill leaves streams like this one on time.
 
-        An engine that prefills without a pause makes one token a chunk: every event of every stream
-        there is late, and long answers end past their deadline.
+        An engine that prefills continuously generates one token per prefill chunk: every event
+        of every stream on it is late, and long answers miss their deadline.
         """
         budget, span = self._budget, self.question.pause_target
         if budget is None or span is None:
             return list(engines)
-        return [each for each in engines if self._is_within(each, budget, span)]
+        return [each for each in engines if self._is_within_budget(each, budget, span)]
 
-    def _is_within(self, engine: BackendServer, budget: float, span: float) -> bool:
+    def _is_within_budget(self, engine: BackendServer, budget: float, span: float) -> bool:
         load = self._load(engine)
         planned = load.reading_within(span, self._now)
         if planned <= 0.0:
@@ -107,57 +109,63 @@
             planned + counted_seconds(load.reading_seconds(self.reading(engine)), budget) <= budget
         )
 
-    def quiet(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
-        """Return the engines whose streams the prompt pauses no longer than they stand.
+    def within_allowance(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
+        """Return the engines that can read the prompt without exceeding the reading allowance.
 
-        Prompts that arrive together are read in one go: they are sent to an engine one after
-        another, as it has read what it was sent, while the first event's target leaves time.
+        An engine reads prompts that arrive together in one go. They are therefore sent one after
+        another, as the engine finishes what it was sent, while the latency target leaves time.
         """
-        return [each for each in engines if self._is_quiet(each)]
+        return [each for each in engines if self._is_within_allowance(each)]
 
-    def _is_quiet(self, engine: BackendServer) -> bool:
-        """Return whether an engine may read the prompt in one go with what it reads already.
+    def _is_within_allowance(self, engine: BackendServer) -> bool:
+        """Return whether the prompt and the pending prefill fit into the reading allowance.
 
-        A short prompt that is alone always may.
+        A short prompt always fits on an engine without pending prefill.
         """
         load = self._load(engine)
-        going_on = load.reading_within(self.question.shortest_pause or 0.0, self._now)
-        if going_on <= 0.0 and not self.question.prompt.is_long:
+        pending = load.reading_within(self.question.shortest_pause or 0.0, self._now)
+        if pending <= 0.0 and not self.question.prompt.is_long:
             return True
-        return going_on + load.reading_seconds(self.reading(engine)) <= (
+        return pending + load.reading_seconds(self.reading(engine)) <= (
             self.question.reading_allowance
         )
 
     def reading(self, engine: BackendServer) -> PromptReading:
-        """Return how an engine would come by the prompt."""
+        """Return how an engine would obtain the prompt, by reading and by fetching."""
         tokens, kept = self.question.prompt.prompt_tokens, self._kept_by_id[engine.id]
         alone = PromptReading(max(1, tokens - kept))
         if self._source is None:
             return alone
         kept_there = self._fetchable_by_id[self._source.id]
         seconds = self._traits.fetch_seconds(kept_there - kept)
-        if kept_there - kept < LEAST_FETCHED_TOKENS or seconds is None:
+        if kept_there - kept < MINIMUM_FETCHED_TOKENS or seconds is None:
             return alone
         return PromptReading(max(1, tokens - kept_there), self._source, seconds)
 
     def _fetch_source(self, engines: Sequence[BackendServer]) -> BackendServer | None:
-        """Return the engine that has read most of the prompt; every entry's same one of several."""
+        """Return the engine that has read most of the prompt.
+
+        Ties are broken in the same way in every entry.
+        """
         most = max(self._fetchable_by_id.values(), default=0)
-        if most < LEAST_FETCHED_TOKENS:
+        if most < MINIMUM_FETCHED_TOKENS:
             return None
         sources = [each for each in engines if self._fetchable_by_id[each.id] == most]
         return min(sources, key=lambda each: rank(self.question.prompt.session, each.id))
 
     def _home(self, engines: Sequence[BackendServer]) -> BackendServer:
-        """Return the engine that keeps the session; where none does, every entry's same one."""
+        """Return the engine that caches most of the session's parts.
+
+        Ties, also when no engine caches any, are broken in the same way in every entry.
+        """
         most = max(self._kept_by_id[each.id] for each in engines)
         keepers = [each for each in engines if self._kept_by_id[each.id] == most]
         return min(keepers, key=lambda each: rank(self.question.prompt.session, each.id))
 
     def _preference(self, engine: BackendServer, *, at_home: bool) -> tuple[bool, int]:
-        """Return what decides among equals: the zone, where no session is to be kept; the session.
+        """Return the sort key among equal engines: zone (if not at home), then session.
 
-        Bytes between availability zones are paid for.
+        Traffic between availability zones is billed.
         """
         elsewhere = not at_home and engine.zone != self.question.zone
         return elsewhere, rank(self.question.prompt.session, engine.id)
@@ -169,26 +177,26 @@
         load = self._load(engine)
         reading, urgency = self.reading(engine), self.question.urgency
         after = load.first_event_after(reading, self._now, urgency, self._stretch)
-        return after + _crowding(load)
+        return after + _running_penalty(load)
 
 
-def place_long(
+def place_long_prompt(
     choice: EngineChoice, short: Sequence[BackendServer], long: Sequence[BackendServer]
 ) -> Placed | NoRoom:
     lane = long or short
     found = choice.best(choice.within_budget(lane), at_home=True)
     if isinstance(found, Placed) or not long:
         return found
-    quiet = choice.quiet(short)
-    if quiet:
-        found = choice.best(quiet, at_home=True)
+    within_allowance = choice.within_allowance(short)
+    if within_allowance:
+        found = choice.best(within_allowance, at_home=True)
     if isinstance(found, Placed) or choice.question.may_wait:
         return found
     return choice.best(lane, at_home=True)
 
 
-def _crowding(load: EngineLoad) -> float:
-    return CROWDED_RUN * load.running
+def _running_penalty(load: EngineLoad) -> float:
+    return RUNNING_REQUEST_PENALTY * load.running
 
 
 def earlier(first: Placed | NoRoom, second: Placed | NoRoom) -> Placed | NoRoom:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/lanes.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/lanes.py
@@ -1,9 +1,9 @@
-"""Which engines take short prompts and which take long ones.
+"""Split of a service's engines into lanes for short and for long prompts.
 
-An engine reads prompts between the tokens of what runs on it: one prompt of thousands of tokens
-stops every stream there for as long as it takes to read. Short prompts with long answers (chats)
-and long prompts with short answers (drafts) therefore go to engines of their own as far as there
-are engines. The split follows the work of either kind that came of late.
+An engine reads prompts between the tokens of its running requests. A prompt of thousands of
+tokens stops every stream on the engine for as long as its prefill takes. Short prompts with long
+answers (chats) and long prompts with short answers (drafts) are therefore placed on separate
+engines where there are enough. The split follows the recent prefill work of both kinds.
 """
 
 from __future__ import annotations
@@ -21,28 +21,31 @@
 
     from .backend_list import BackendServer
 
-MEMORY = 8.0
-"""Seconds over which the work of either kind is forgotten: about as long as a burst."""
+WORK_DECAY_SECONDS = 8.0
+"""Time constant in seconds of the exponential decay of past work: about the length of a burst."""
 
-SHORT_READING = 0.5
-"""Part of an engine's time that the reading of short prompts may take. Prompts that arrive within
-the time of one event are read in that same pause: fuller engines pass the target by chance."""
+MAXIMUM_SHORT_PREFILL_SHARE = 0.5
+"""Largest fraction of an engine's time that prefill of short prompts may take. Prompts that
+arrive within the time of one event are read in the same pause, so engines with a higher load
+exceed the pause target by chance."""
 
 SHORT_WEIGHT = 2.0
-"""Weight of short prompts' reading against long ones'.
+"""Weight of the prefill of short prompts relative to long ones.
 
-A chat is paused by any reading beside it, so the engines for short prompts run at half the load of
-the others."""
+Any prefill on the same engine pauses a chat, so engines for short prompts run at half the load
+of the others.
+"""
 
-SLOTS_FILLED = 1.25
-"""Part of the slots for short prompts that is meant to be filled: the rest takes what comes until
-the split has moved."""
+TARGET_SLOT_RATIO = 1.25
+"""Target ratio of running short requests to slots in the short lane. The remaining capacity
+takes new requests until the split has changed."""
 
-SHORTEST_VIEW = 1.0
-"""Seconds of traffic below which a rate is not told from chance."""
+MINIMUM_OBSERVATION_SECONDS = 1.0
+"""Minimum seconds of observation for a rate: shorter ones are dominated by chance."""
 
-SPARE = 0.25
-"""Part of an engine by which the share of short work may overshoot before one more is taken."""
+ROUNDING_TOLERANCE = 0.25
+"""Fraction of an engine by which the computed share may exceed a whole number before another
+engine is added."""
 
 
 @dataclass(slots=True)
@@ -55,16 +58,16 @@
         self.updated_at = now
 
     def at(self, now: Instant) -> float:
-        return self.amount * exp(-max(0.0, now - self.updated_at) / MEMORY)
+        return self.amount * exp(-max(0.0, now - self.updated_at) / WORK_DECAY_SECONDS)
 
 
 def rank(key: str, backend_id: str) -> int:
-    """Return a backend server's place for a key: every entry computes the same."""
+    """Return the rank of a backend server for a key; it is the same in every entry."""
     return xxhash.xxh3_64_intdigest(f"{key}/{backend_id}".encode())
 
 
 class Lanes:
-    """The split of one service's engines.
+    """Computes the split of one service's engines.
 
     Example:
         >>> lanes = Lanes()
@@ -80,24 +83,24 @@
     def __init__(self) -> None:
         self._short = _Work()
         self._long = _Work()
-        self._began_at: Instant | None = None
+        self._observed_since: Instant | None = None
         self.tokens_per_second = 0.0
-        """Prompt tokens that one engine reads a second; 0 while that is not known."""
+        """Prompt tokens that one engine reads per second; 0 if unknown."""
         self.short_running = 0
-        """Short requests that are on the engines."""
+        """Number of short requests on the engines."""
         self._ordered_from: tuple[BackendServer, ...] = ()
         self._ordered: Sequence[BackendServer] = ()
 
     def count(self, unread_tokens: int, *, is_long: bool, now: Instant) -> None:
-        """Count a request that was sent or wanted to be."""
-        self._begin(now)
+        """Add the prefill work of a request that asks for an engine."""
+        self._start_observation(now)
         (self._long if is_long else self._short).add(unread_tokens, now)
 
     def short_engines(self, engines: int, slots: int, now: Instant) -> int:
         """Return how many engines are for short prompts; the others are for long ones.
 
-        There are as many as the share of short work asks for, as its reading needs, or as the short
-        requests that run need slots, whichever is most.
+        The number is the maximum of three: what the share of short work requires, what their
+        prefill rate requires, and the slots that running short requests need.
         """
         short = SHORT_WEIGHT * self._short.at(now)
         total = short + self._long.at(now)
@@ -105,21 +108,25 @@
             return engines
         if short <= 0.0:
             return 0
-        for_work = ceil(engines * short / total - SPARE)
-        for_slots = ceil(self.short_running / (SLOTS_FILLED * slots))
+        for_work = ceil(engines * short / total - ROUNDING_TOLERANCE)
+        for_slots = ceil(self.short_running / (TARGET_SLOT_RATIO * slots))
         return min(engines - 1, max(1, for_work, for_slots, self._for_reading(now)))
 
     def _for_reading(self, now: Instant) -> int:
-        """Return how many engines read the short prompts in a small part of their time."""
-        if not self.tokens_per_second or self._began_at is None:
+        """Return the engines needed to keep prefill of short prompts within its time share."""
+        if not self.tokens_per_second or self._observed_since is None:
             return 0
-        seen_for = max(SHORTEST_VIEW, now - self._began_at)
-        rate = self._short.at(now) / (MEMORY * (1 - exp(-seen_for / MEMORY)))
-        return ceil(rate / (SHORT_READING * self.tokens_per_second) - SPARE)
-
-    def _begin(self, now: Instant) -> None:
-        if self._began_at is None:
-            self._began_at = now
+        observed_for = max(MINIMUM_OBSERVATION_SECONDS, now - self._observed_since)
+        rate = self._short.at(now) / (
+            WORK_DECAY_SECONDS * (1 - exp(-observed_for / WORK_DECAY_SECONDS))
+        )
+        return ceil(
+            rate / (MAXIMUM_SHORT_PREFILL_SHARE * self.tokens_per_second) - ROUNDING_TOLERANCE
+        )
+
+    def _start_observation(self, now: Instant) -> None:
+        if self._observed_since is None:
+            self._observed_since = now
 
     def split(
         self, engines: Sequence[BackendServer], service: str, slots: int, now: Instant
@@ -130,7 +137,7 @@
         return ordered[:count], ordered[count:]
 
     def _in_order(self, engines: Sequence[BackendServer], service: str) -> Sequence[BackendServer]:
-        """Return the engines in the order that all entries agree on, sorted once for each list."""
+        """Return the engines in an order that is the same in every entry, cached per list."""
         known = tuple(engines)
         if known != self._ordered_from:
             self._ordered_from = known
