--- a/packages/ragwortwing-policy/src/ragwortwing_policy/__init__.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of ragwortwing: admission, queueing, routing, limits, retries, orders, membership."""
+"""Decision logic without I/O: admission, queueing, routing, limits, retries, orders, membership."""
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/account_limits.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/account_limits.py
@@ -1,9 +1,9 @@
-"""Limits by client account over several entries, without a counter that they would share.
+"""Enforces client account limits across several entries without a shared counter.
 
-Each entry enforces its own part of an account's rate and concurrency. Without reports the parts are
-equal. With reports of what agents see of an account over all entries, an entry's part is its own
-use and an equal part of what the site leaves unused; the parts add up to the limit again. The error
-bound is stated in `docs/decisions/account-limits.md`.
+Each entry enforces its own share of an account's rate and concurrency. Without usage reports the
+shares are equal. Agents report an account's usage over all entries. With such a report, an entry's
+share is its own usage plus an equal part of the unused capacity, so the shares still add up to the
+limit. The error bound is stated in `docs/decisions/account-limits.md`.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
     from .clock import Instant
     from .configuration import ClientAccount, Configuration
 
-EQUAL_SHARE = 0.05
-"""Part of a limit that is always split equally, so that no entry falls to nothing."""
+EQUALLY_SPLIT_FRACTION = 0.05
+"""Fraction of a limit that is always split equally, so that no entry's share drops to zero."""
 
 USAGE_LIFETIME = timedelta(seconds=5)
-"""Age at which a report of an account's use no longer counts."""
+"""Age at which a usage report is ignored."""
 
 ADJUSTMENT_INTERVAL = timedelta(seconds=1)
-"""Shortest time between two changes of an entry's part; not shorter than a report's way here."""
+"""Minimum time between two changes of an entry's share; at least the delivery time of a report."""
 
 RATE_WINDOW = timedelta(seconds=1)
-"""Time constant over which an entry measures its own rate."""
+"""Time constant of the smoothed request rate that an entry measures."""
 
 CONCURRENCY_RETRY_AFTER = timedelta(seconds=1)
-"""When to come back after a concurrency limit."""
+"""Retry delay returned when the concurrency limit is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class AccountUsage:
-    """What agents see of a client account over all entries."""
+    """Usage of a client account over all entries, as reported by agents."""
 
     account: str
     in_flight: int
@@ -45,98 +45,105 @@
 
 
 class _TokenBucket:
-    """Tokens that come at a rate and are kept up to a capacity."""
+    """Token bucket with a refill rate and a capacity."""
 
     def __init__(self, rate: float, capacity: float, now: Instant) -> None:
         self._rate = rate
         self._capacity = capacity
         self._tokens = capacity
-        self._filled_at = now
+        self._refilled_at = now
 
     def take(self, now: Instant) -> timedelta | None:
-        """Take a token; return the time until there is one where there is none."""
-        self._fill(now)
+        """Take a token, or return the time until the next token if the bucket is empty."""
+        self._refill(now)
         if self._tokens < 1.0:
             return timedelta(seconds=(1.0 - self._tokens) / self._rate)
         self._tokens -= 1.0
         return None
 
     def resize(self, rate: float, capacity: float, now: Instant) -> None:
-        """Change rate and capacity; no token appears by it."""
-        self._fill(now)
+        """Change rate and capacity without adding tokens."""
+        self._refill(now)
         self._rate = rate
         self._capacity = capacity
         self._tokens = min(self._tokens, capacity)
 
-    def _fill(self, now: Instant) -> None:
-        gained = (now - self._filled_at) * self._rate
+    def _refill(self, now: Instant) -> None:
+        gained = (now - self._refilled_at) * self._rate
         self._tokens = min(self._capacity, self._tokens + gained)
-        self._filled_at = now
+        self._refilled_at = now
 
 
-class _OwnUse:
-    """What this entry admitted of an account: in flight, and as a smoothed rate."""
+class _LocalUsage:
+    """Requests of an account that this entry admitted: number in flight and smoothed rate."""
 
     def __init__(self, now: Instant) -> None:
         self.in_flight = 0
         self._rate = 0.0
-        self._rated_at = now
+        self._rate_updated_at = now
 
-    def admitted(self, now: Instant) -> None:
-        """Count a request."""
+    def record_admitted(self, now: Instant) -> None:
+        """Count an admitted request."""
         self._rate = self.rate(now) + 1.0 / RATE_WINDOW.total_seconds()
-        self._rated_at = now
+        self._rate_updated_at = now
         self.in_flight += 1
 
     def rate(self, now: Instant) -> float:
         """Return the smoothed requests per second."""
-        return self._rate * exp(-(now - self._rated_at) / RATE_WINDOW.total_seconds())
+        return self._rate * exp(-(now - self._rate_updated_at) / RATE_WINDOW.total_seconds())
 
 
 class _AccountShare:
-    """This entry's part of one account's limits."""
+    """This entry's share of one account's limits."""
 
     def __init__(self, account: ClientAccount, factor: float, entries: int, now: Instant) -> None:
-        self.own = _OwnUse(now)
+        self.local_usage = _LocalUsage(now)
         self._account = account
-        self._factor = factor
-        self._entries = entries
-        self._usage: AccountUsage | None = None
+        self._limit_factor = factor
+        self._entry_count = entries
+        self._reported_usage: AccountUsage | None = None
         self._adjusted_at = now
         self._bucket: _TokenBucket | None = None
         self._concurrency: int | None = None
         self._resize(now)
 
     def admit(self, now: Instant) -> NotRun | None:
-        """Count a request in, or say why it is over a limit."""
-        if self._usage is not None and now - self._adjusted_at > USAGE_LIFETIME.total_seconds():
-            self._usage = None
+        """Admit a request, or return the limit that it exceeds."""
+        if (
+            self._reported_usage is not None
+            and now - self._adjusted_at > USAGE_LIFETIME.total_seconds()
+        ):
+            self._reported_usage = None
             self._resize(now)
-        if self._concurrency is not None and self.own.in_flight >= self._concurrency:
+        if self._concurrency is not None and self.local_usage.in_flight >= self._concurrency:
             return NotRun(NotRunReason.CONCURRENCY_LIMITED, CONCURRENCY_RETRY_AFTER)
         retry_after = None if self._bucket is None else self._bucket.take(now)
         if retry_after is not None:
             return NotRun(NotRunReason.RATE_LIMITED, retry_after)
-        self.own.admitted(now)
+        self.local_usage.record_admitted(now)
         return None
 
     def reconfigure(
         self, account: ClientAccount, factor: float, entries: int, now: Instant
     ) -> None:
-        """Take other limits, or another number of entries, into force."""
-        changed = (account, factor, entries) != (self._account, self._factor, self._entries)
+        """Apply changed limits or a changed number of entries."""
+        changed = (account, factor, entries) != (
+            self._account,
+            self._limit_factor,
+            self._entry_count,
+        )
         self._account = account
-        self._factor = factor
-        self._entries = entries
+        self._limit_factor = factor
+        self._entry_count = entries
         if changed:
-            self._usage = None
+            self._reported_usage = None
             self._resize(now)
 
     def observe(self, usage: AccountUsage, now: Instant) -> None:
-        """Adjust the part to what the agents see."""
+        """Adjust the share to the usage that agents report."""
         if now - self._adjusted_at < ADJUSTMENT_INTERVAL.total_seconds():
             return
-        self._usage = usage
+        self._reported_usage = usage
         self._adjusted_at = now
         self._resize(now)
 
@@ -145,70 +152,74 @@
         if self._account.concurrency is None:
             self._concurrency = None
             return
-        limit = self._account.concurrency * self._factor
-        used = None if self._usage is None else self._usage.in_flight
-        part = self._part(limit, self.own.in_flight, used)
-        self._concurrency = max(1, floor(part))
+        limit = self._account.concurrency * self._limit_factor
+        total_usage = None if self._reported_usage is None else self._reported_usage.in_flight
+        share = self._local_limit(limit, self.local_usage.in_flight, total_usage)
+        self._concurrency = max(1, floor(share))
 
     def _resize_rate(self, now: Instant) -> None:
         if self._account.requests_per_second is None:
             self._bucket = None
             return
-        limit = self._account.requests_per_second * self._factor
-        used = None if self._usage is None else self._usage.requests_per_second
-        rate = self._part(limit, self.own.rate(now), used)
-        capacity = max(1.0, self._account.burst * self._factor * rate / limit)
+        limit = self._account.requests_per_second * self._limit_factor
+        total_usage = (
+            None if self._reported_usage is None else self._reported_usage.requests_per_second
+        )
+        rate = self._local_limit(limit, self.local_usage.rate(now), total_usage)
+        capacity = max(1.0, self._account.burst * self._limit_factor * rate / limit)
         if self._bucket is None:
             self._bucket = _TokenBucket(rate, capacity, now)
         else:
             self._bucket.resize(rate, capacity, now)
 
-    def _part(self, limit: float, own: float, used: float | None) -> float:
-        equal = limit / self._entries
-        if used is None:
+    def _local_limit(self, limit: float, local_usage: float, total_usage: float | None) -> float:
+        equal = limit / self._entry_count
+        if total_usage is None:
             return equal
-        by_use = max(0.0, own + (limit - used) / self._entries)
-        return min(limit, (1.0 - EQUAL_SHARE) * by_use + EQUAL_SHARE * equal)
+        usage_based = max(0.0, local_usage + (limit - total_usage) / self._entry_count)
+        return min(
+            limit, (1.0 - EQUALLY_SPLIT_FRACTION) * usage_based + EQUALLY_SPLIT_FRACTION * equal
+        )
 
 
 class AccountLimiter:
-    """Rate and concurrency limits by client account, as one entry enforces them."""
+    """Enforces one entry's share of the rate and concurrency limits of client accounts."""
 
     def __init__(self, configuration: Configuration, entries: int = 1) -> None:
         self._configuration = configuration
-        self._entries = max(1, entries)
+        self._entry_count = max(1, entries)
         self._share_by_account: dict[str, _AccountShare] = {}
 
     def admit(self, account: str, now: Instant) -> NotRun | None:
-        """Count a request of an account in, or return why it does not run.
+        """Admit a request of an account, or return why it is not run.
 
         Args:
             account: The name of a configured client account.
-            now: The present instant.
+            now: The current time.
 
         Returns:
-            None where the request may go on; each such request is given back by `release`.
+            None if the request is admitted. The caller must call `release` when it ends.
         """
         return self._share(account, now).admit(now)
 
     def release(self, account: str, now: Instant) -> None:
-        """Count a request out that ended in any way."""
+        """Count the end of an admitted request, whatever its outcome."""
         share = self._share_by_account.get(account)
-        if share is not None and share.own.in_flight:
-            share.own.in_flight -= 1
+        if share is not None and share.local_usage.in_flight:
+            share.local_usage.in_flight -= 1
 
     def entries_changed(self, count: int, now: Instant) -> None:
-        """Split the limits over another number of live entries."""
-        self._entries = max(1, count)
+        """Split the limits over a changed number of live entries."""
+        self._entry_count = max(1, count)
         self._reconfigure(now)
 
     def configure(self, configuration: Configuration, now: Instant) -> None:
-        """Take a newer configuration, or another preset, into force."""
+        """Apply a newer configuration or preset."""
         self._configuration = configuration
         self._reconfigure(now)
 
     def observed(self, usage: AccountUsage, now: Instant) -> None:
-        """Take in what the agents see of an account over all entries."""
+        """Apply a usage report that covers all entries."""
         if usage.account in self._configuration.accounts_by_name:
             self._share(usage.account, now).observe(usage, now)
 
@@ -216,7 +227,7 @@
         share = self._share_by_account.get(name)
         if share is None:
             account = self._configuration.accounts_by_name[name]
-            share = _AccountShare(account, self._factor, self._entries, now)
+            share = _AccountShare(account, self._limit_factor, self._entry_count, now)
             self._share_by_account[name] = share
         return share
 
@@ -226,9 +237,9 @@
             if account is None:
                 del self._share_by_account[name]
             else:
-                share.reconfigure(account, self._factor, self._entries, now)
+                share.reconfigure(account, self._limit_factor, self._entry_count, now)
 
     @property
-    def _factor(self) -> float:
+    def _limit_factor(self) -> float:
         configuration = self._configuration
         return configuration.presets_by_name[configuration.preset].account_limit_factor
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/chart.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/chart.py
@@ -1,4 +1,4 @@
-"""State charts: read from TOML files in the package and interpreted with `transitions`."""
+"""State charts, loaded from TOML files in the package and interpreted with `transitions`."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ChartError(Exception):
-    """A chart file that contradicts itself."""
+    """A chart file with an ambiguous transition."""
 
 
 class InvalidTransitionError(Exception):
-    """A trigger that the chart does not allow in the present state."""
+    """A trigger that the chart does not allow in the current state."""
 
     def __init__(self, chart: str, state: str, trigger: str) -> None:
         super().__init__(f"{chart}: no transition {trigger!r} from {state!r}")
@@ -27,10 +27,10 @@
 
 
 class StateChart:
-    """The states and transitions of one kind of thing.
+    """The states and transitions of one state machine.
 
-    The chart itself holds no present state, so that one chart serves any number of owners: each
-    keeps the name of its state and asks for the next.
+    A chart does not store a current state, so one chart can be shared by any number of owners. Each
+    owner stores the name of its state and looks up the next one.
 
     Example:
         >>> chart = load_chart("circuit")
@@ -50,7 +50,7 @@
         self._destination_by_edge = self._interpret(document)
 
     def allows(self, state: str, trigger: str) -> bool:
-        """Return whether a trigger may fire in a state."""
+        """Return whether a trigger is allowed in a state."""
         return (state, trigger) in self._destination_by_edge
 
     def next(self, state: str, trigger: str) -> str:
@@ -87,6 +87,6 @@
 
 @cache
 def load_chart(name: str) -> StateChart:
-    """Return a chart of the package by its file's stem."""
+    """Return the packaged chart with the given file stem."""
     file = resources.files(__package__) / CHARTS_DIRECTORY / f"{name}.toml"
     return StateChart(name, file.read_text(encoding="utf-8"))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/clock.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/clock.py
@@ -1,4 +1,4 @@
-"""The clock that every decision is given, so that tests and experiments can run in virtual time."""
+"""Clock interface that allows tests and experiments to run in virtual time."""
 
 from __future__ import annotations
 
@@ -6,30 +6,33 @@
 from typing import Protocol
 
 DEFAULT_EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
-"""Wall time at which a manual clock starts."""
+"""Wall-clock time at which a manual clock starts."""
 
 Instant = float
-"""A point on the monotonic clock in seconds; it has no meaning in another process."""
+"""A monotonic time in seconds. It is only valid within one process."""
 
 
 class Clock(Protocol):
     """Source of time for a process."""
 
     def monotonic(self) -> Instant:
-        """Return the monotonic time; it never goes back."""
+        """Return the monotonic time, which never decreases."""
         ...
 
     def boot_time(self) -> Instant:
-        """Return a monotonic time that also goes on while the machine is suspended."""
+        """Return a monotonic time that also advances while the machine is suspended."""
         ...
 
     def utc_now(self) -> datetime:
-        """Return the wall time with its zone; it may step, so no interval is taken from it."""
+        """Return the wall-clock time in UTC.
+
+        It may jump, so it must not be used to measure intervals.
+        """
         ...
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests and virtual time.
+    """A clock that advances only on request, for tests and virtual time.
 
     Example:
         >>> clock = ManualClock()
@@ -51,7 +54,7 @@
         return self._now
 
     def utc_now(self) -> datetime:
-        """Return the epoch moved on by the monotonic time."""
+        """Return the epoch plus the monotonic time."""
         return self._epoch + timedelta(seconds=self._now)
 
     def advance(self, seconds: float) -> None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/configuration.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/configuration.py
@@ -1,7 +1,7 @@
 """The published configuration: request classes, client accounts, models, services and presets.
 
-Durations are `timedelta` everywhere; collections are named by their key. The process settings of a
-single VM (addresses, zone, log level) are not here: see `ragwortwing_runtime.settings`.
+All durations are `timedelta`. The names of mappings include their key, as in `classes_by_name`. The
+process settings of a single VM (addresses, zone, log level) are in `ragwortwing_runtime.settings`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 """Tier 0 is the most urgent; a larger number is less urgent."""
 
 LOWEST_TIER = 15
-"""The least urgent tier that may be named."""
+"""The least urgent tier that may be configured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,78 +25,78 @@
     tier: int
     """Strict priority between tiers; 0 is the most urgent."""
     first_token_target: timedelta = timedelta(seconds=1.5)
-    """Time to first token that counts as attained; for a plain service, time to the answer."""
+    """Latency target for the first token or, for a plain service, for the answer."""
     between_token_target: timedelta = timedelta(milliseconds=45)
-    """Mean time between tokens of an answer that counts as attained."""
+    """Latency target for the mean time between the tokens of an answer."""
     deadline: timedelta = timedelta(seconds=60)
-    """Time after which the caller no longer waits for the first token or the answer."""
+    """Time after which the caller stops waiting for the first token or the answer."""
     queue_limit: timedelta = timedelta(seconds=1.5)
-    """Predicted wait above which a request is refused at once."""
+    """Predicted wait above which a request is refused on arrival."""
     aging_bound: timedelta = timedelta(seconds=120)
-    """Wait after which a queued request may take a free slot before more urgent ones that can
+    """Wait after which a queued request may take a free slot before more urgent requests, if those
     still meet their targets."""
     weight: float = 1.0
-    """Share within the tier."""
+    """Relative share within the tier."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account and its limits over the whole site."""
+    """A client account and its site-wide limits."""
 
     name: str
     key_digests: tuple[str, ...] = ()
     """SHA-256 digests, in hexadecimal, of the account's API keys."""
     classes: tuple[str, ...] = ()
-    """Request classes the account may name; the first is its default."""
+    """Request classes that the account may use; the first is its default."""
     weight: float = 1.0
-    """Share within a request class."""
+    """Relative share within a request class."""
     requests_per_second: float | None = None
-    """Sustained request rate; None is unlimited."""
+    """Sustained request rate, or None for no limit."""
     burst: int = 20
-    """Requests that may come at once above the rate."""
+    """Maximum burst of requests above the sustained rate."""
     concurrency: int | None = None
-    """Requests in flight at one time; None is unlimited."""
+    """Maximum number of requests in flight, or None for no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model callers may name."""
+    """A model that callers may request."""
 
     name: str
     version: str = "1"
     context_tokens: int = 32_768
-    """Prompt and answer together."""
+    """Maximum tokens of prompt and answer together."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRoute:
-    """One kind of call to a plain service."""
+    """One route of a plain service."""
 
     method: str
     path: str
-    """Path below the service's prefix; a trailing `*` matches any rest."""
+    """Path below the service's prefix; a trailing `*` matches any suffix."""
     idempotent: bool
-    """Whether the call may be repeated by the system; a route that may not is an order."""
+    """Whether the system may repeat the call. A route that is not idempotent is an order."""
     request_class: str
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service (an order desk) reached below a path prefix."""
+    """A plain service, such as an order desk, that is reached below a path prefix."""
 
     name: str
     prefix: str
     routes: tuple[ServiceRoute, ...] = ()
     fenced: bool = False
-    """Whether its backend servers refuse orders that carry an old fencing number."""
+    """Whether its backend servers refuse orders with an outdated fencing number."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClassOverride:
-    """What a preset changes for one request class; None leaves the class's own value."""
+    """Values that a preset overrides for a request class; None keeps the class's own value."""
 
     admitted: bool = True
-    """Whether the class is served at all while the preset is in force."""
+    """Whether the class is served while the preset is in force."""
     tier: int | None = None
     first_token_target: timedelta | None = None
     queue_limit: timedelta | None = None
@@ -105,22 +105,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Preset:
-    """A named set of changes for ordinary days, peaks or maintenance."""
+    """A named set of overrides, for example for ordinary days, peaks or maintenance."""
 
     name: str
     overrides_by_class: Mapping[str, ClassOverride] = field(default_factory=dict)
     account_limit_factor: float = 1.0
-    """Factor on every account's rate and concurrency."""
+    """Factor applied to every account's rate and concurrency limits."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One accepted configuration, with the preset in force."""
+    """An accepted configuration with the preset in force."""
 
     revision: int
-    """Log offset of the record that brought it into force; -1 before the first."""
+    """Log offset of the record that brought it into force, or -1 before the first one."""
     preset: str
-    """Name of the one preset in force."""
+    """Name of the preset in force."""
     classes_by_name: Mapping[str, RequestClass] = field(default_factory=dict)
     accounts_by_name: Mapping[str, ClientAccount] = field(default_factory=dict)
     models_by_name: Mapping[str, Model] = field(default_factory=dict)
@@ -128,13 +128,13 @@
     presets_by_name: Mapping[str, Preset] = field(default_factory=dict)
 
     def class_in_force(self, name: str) -> RequestClass:
-        """Return a request class as the preset in force changes it.
+        """Return a request class with the overrides of the preset in force.
 
         Args:
             name: The name of a configured request class.
 
         Returns:
-            The class with the preset's values in place of its own.
+            The class with the preset's overrides applied.
         """
         base = self.classes_by_name[name]
         override = self.presets_by_name[self.preset].overrides_by_class.get(name)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_diff.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_diff.py
@@ -1,4 +1,4 @@
-"""The differences of two configuration documents, key by key."""
+"""Computes the differences between two configuration documents, key by key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A key whose value differs; None stands for a key that is not there."""
+    """A key whose value differs; None stands for a missing key."""
 
     path: str
     old: Any
@@ -17,7 +17,7 @@
 
 
 def diff_documents(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[Difference, ...]:
-    """Return the differences of two documents, sorted by path.
+    """Return the differences between two documents, sorted by path.
 
     Example:
         >>> diff_documents({"a": {"x": 1, "y": 2}}, {"a": {"x": 3}})
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_document.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_document.py
@@ -1,8 +1,9 @@
-"""The written form of a published configuration, and every check that it must pass.
+"""Reads, validates and writes configuration documents.
 
-The same form stands in the operator's TOML file and, as JSON, in the log. The checks decide whether
-a publication takes effect, so they are part of the fold: a check may only be made stricter together
-with a new `format` number, or processes of two releases would judge one record differently.
+The operator's TOML file and the JSON records in the log use the same schema. The checks decide
+whether a publication takes effect, so they are part of the fold over the log. A check may only be
+made stricter together with a new `format` number. Otherwise processes of two releases would accept
+and reject the same record.
 """
 
 from __future__ import annotations
@@ -32,10 +33,10 @@
 from .durations import DurationError, format_duration, parse_duration
 
 FORMAT = 1
-"""Number of the form described here."""
+"""Version number of the document schema."""
 
 Document = Mapping[str, Any]
-"""A configuration as it is read from TOML or JSON, unchecked."""
+"""An unvalidated configuration as parsed from TOML or JSON."""
 
 T = TypeVar("T")
 
@@ -49,80 +50,79 @@
     "services": Service,
     "presets": Preset,
 }
-"""Each top-level table and what its entries are."""
+"""Type of the entries in each top-level table."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A document that may not take effect, with every fault found."""
+    """A document that failed validation, with all faults found."""
 
     faults: tuple[Fault, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ReadBefore:
-    """A sound document and what it was read as; the next one takes over what stands unchanged."""
+class PreviousDocument:
+    """A valid document and its configuration; the next read reuses its unchanged entries."""
 
     document: Document
     configuration: Configuration
 
 
 @dataclass(slots=True)
-class _Reading:
-    """What was read of a document so far."""
+class _ReadState:
+    """Intermediate result of reading a document."""
 
-    before: ReadBefore | None = None
+    before: PreviousDocument | None = None
     tables: dict[str, dict[str, Any]] = field(default_factory=dict)
     faults: list[Fault] = field(default_factory=list)
 
 
 def read_document(
-    document: Document, revision: int, preset: str | None, before: ReadBefore | None = None
+    document: Document, revision: int, preset: str | None, before: PreviousDocument | None = None
 ) -> Configuration | Refused:
-    """Check a document and return it as a configuration.
+    """Validate a document and convert it to a configuration.
 
     Args:
-        document: The document as read from TOML or JSON.
-        revision: The revision that the configuration gets.
-        preset: The preset in force; None where only the document itself is checked.
-        before: What was read last, so that a change costs the time of what it changes. A process
-            that folds thousands of accounts anew stops its event loop for longer than the time
-            between two tokens.
+        document: The document as parsed from TOML or JSON.
+        revision: The revision of the resulting configuration.
+        preset: The preset in force, or None to check only the document itself.
+        before: The previous document, whose unchanged entries are reused. Reading thousands of
+            accounts again would block the event loop for longer than the time between two tokens.
     """
-    reading = _Reading(before)
-    _read_top_level(document, reading)
+    state = _ReadState(before)
+    _read_top_level(document, state)
     for table, entry_type in _TABLES.items():
-        reading.tables[table] = _read_table(document.get(table, {}), table, entry_type, reading)
+        state.tables[table] = _read_table(document.get(table, {}), table, entry_type, state)
     configuration = Configuration(
         revision=revision,
         preset=preset or "",
-        classes_by_name=reading.tables["classes"],
-        accounts_by_name=reading.tables["accounts"],
-        models_by_name=reading.tables["models"],
-        services_by_name=reading.tables["services"],
-        presets_by_name=reading.tables["presets"],
+        classes_by_name=state.tables["classes"],
+        accounts_by_name=state.tables["accounts"],
+        models_by_name=state.tables["models"],
+        services_by_name=state.tables["services"],
+        presets_by_name=state.tables["presets"],
     )
-    # An entry that could not be read is missing here; what refers to it is no fault of its own.
-    unread = {tuple(fault.path.split(".")[:2]) for fault in reading.faults}
-    tables_unread = {table for table, *_ in unread}
+    # An unreadable entry is missing in the configuration. References to it are not reported again.
+    unreadable = {tuple(fault.path.split(".")[:2]) for fault in state.faults}
+    unreadable_tables = {table for table, *_ in unreadable}
     semantic = [
         fault
         for fault in check(configuration)
-        if fault.refers_to not in unread and fault.path not in tables_unread
+        if fault.refers_to not in unreadable and fault.path not in unreadable_tables
     ]
-    faults = [*reading.faults, *semantic]
+    faults = [*state.faults, *semantic]
     if preset is not None and not faults and preset not in configuration.presets_by_name:
         faults.append(missing_preset(preset))
     return Refused(tuple(faults)) if faults else configuration
 
 
 def missing_preset(preset: str) -> Fault:
-    """Return the fault of a preset in force that the document does not have."""
+    """Return the fault for a preset in force that the document does not define."""
     return Fault(f"presets.{preset}", "the preset in force is not in the document")
 
 
 def write_document(configuration: Configuration) -> dict[str, Any]:
-    """Return the document of a configuration."""
+    """Convert a configuration to a document."""
     document: dict[str, Any] = {"format": FORMAT}
     for table, entries_by_name in tables_of(configuration).items():
         document[table] = {
@@ -136,76 +136,76 @@
     return {key: value for key, value in entry.items() if key != "name" and value is not None}
 
 
-def _read_top_level(document: Document, reading: _Reading) -> None:
+def _read_top_level(document: Document, state: _ReadState) -> None:
     if document.get("format") != FORMAT:
-        reading.faults.append(Fault("format", f"must be {FORMAT}"))
+        state.faults.append(Fault("format", f"must be {FORMAT}"))
     for key in document:
         if key != "format" and key not in _TABLES:
-            reading.faults.append(Fault(key, "unknown key"))
+            state.faults.append(Fault(key, "unknown key"))
 
 
-def _read_table(raw: object, table: str, entry_type: type[T], reading: _Reading) -> dict[str, T]:
+def _read_table(raw: object, table: str, entry_type: type[T], state: _ReadState) -> dict[str, T]:
     if not isinstance(raw, Mapping):
-        reading.faults.append(Fault(table, "must be a table"))
+        state.faults.append(Fault(table, "must be a table"))
         return {}
     entries: dict[str, T] = {}
-    known = _entries_before(reading.before, table)
+    previous = _previous_entries(state.before, table)
     for name, fields in raw.items():
-        if name in known.entries and _same(known.raw[name], fields):
-            entries[name] = known.entries[name]
+        if name in previous.entries and _encodes_equally(previous.raw[name], fields):
+            entries[name] = previous.entries[name]
             continue
         path = f"{table}.{name}"
         if not isinstance(fields, Mapping):
-            reading.faults.append(Fault(path, "must be a table"))
+            state.faults.append(Fault(path, "must be a table"))
         elif "name" in fields:
-            reading.faults.append(Fault(f"{path}.name", "unknown key"))
+            state.faults.append(Fault(f"{path}.name", "unknown key"))
         else:
             try:
                 entries[name] = _converter.structure({**fields, "name": name}, entry_type)
             except cattrs.BaseValidationError as error:
-                reading.faults.extend(_faults_of(error, path))
+                state.faults.extend(_faults_of(error, path))
     return entries
 
 
 @dataclass(frozen=True, slots=True)
-class _TableBefore:
+class _PreviousTable:
     raw: Mapping[str, Any]
     entries: Mapping[str, Any]
 
 
-def _same(one: object, other: object) -> bool:
-    """Return whether two raw entries are written alike.
+def _encodes_equally(first: object, second: object) -> bool:
+    """Return whether two raw entries have the same JSON encoding.
 
-    Python holds 1, 1.0 and True for equal, and a reader without the entry read before does not: the
-    two would judge one record differently. The encoded forms differ.
+    In Python 1, 1.0 and True are equal, but the validation of a new entry tells them apart. Reusing
+    such an entry would accept a record that a process without the previous document rejects.
     """
-    return one == other and msgspec.json.encode(one) == msgspec.json.encode(other)
+    return first == second and msgspec.json.encode(first) == msgspec.json.encode(second)
 
 
-def _entries_before(before: ReadBefore | None, table: str) -> _TableBefore:
+def _previous_entries(before: PreviousDocument | None, table: str) -> _PreviousTable:
     if before is None:
-        return _TableBefore({}, {})
+        return _PreviousTable({}, {})
     entries: Mapping[str, Any] = getattr(before.configuration, f"{table}_by_name")
-    return _TableBefore(before.document.get(table, {}), entries)
+    return _PreviousTable(before.document.get(table, {}), entries)
 
 
 def _faults_of(error: cattrs.BaseValidationError, path: str) -> list[Fault]:
-    """Return a fault for each error that the converter collected."""
+    """Return a fault for each validation error of the converter."""
     faults: list[Fault] = []
-    for line in cattrs.transform_error(error, path, _describe):
-        message, _, where = line.rpartition(" @ ")
-        where = where.replace("['", ".").replace("']", "")
-        where = where.replace(".overrides_by_class", ".classes")
+    for line in cattrs.transform_error(error, path, _error_message):
+        message, _, location = line.rpartition(" @ ")
+        location = location.replace("['", ".").replace("']", "")
+        location = location.replace(".overrides_by_class", ".classes")
         if message.startswith(_UNKNOWN_KEYS):
             keys = message.removeprefix(_UNKNOWN_KEYS).split(_KEY_SEPARATOR)
-            faults.extend(Fault(f"{where}.{key}", "unknown key") for key in keys)
+            faults.extend(Fault(f"{location}.{key}", "unknown key") for key in keys)
         else:
-            faults.append(Fault(where, message))
+            faults.append(Fault(location, message))
     return faults
 
 
-def _describe(error: BaseException, _: type | None) -> str:
-    """Return what an error of the converter says to an operator."""
+def _error_message(error: BaseException, _: type | None) -> str:
+    """Return the operator-facing message for a converter error."""
     if isinstance(error, cattrs.ForbiddenExtraKeysError):
         return _UNKNOWN_KEYS + _KEY_SEPARATOR.join(sorted(error.extra_fields))
     if isinstance(error, KeyError):
@@ -213,8 +213,8 @@
     return str(error)
 
 
-def _strict(expected: type, *accepted: type) -> Any:
-    """Return a hook that takes only the given types, where the converter would convert."""
+def _strict_hook(expected: type, *accepted: type) -> Any:
+    """Return a structure hook that accepts only the given types instead of coercing values."""
 
     def structure(value: object, _: type) -> Any:
         if isinstance(value, bool) and expected is not bool:
@@ -243,10 +243,10 @@
 
 def _build_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
-    converter.register_structure_hook(bool, _strict(bool))
-    converter.register_structure_hook(int, _strict(int))
-    converter.register_structure_hook(float, _strict(float, int))
-    converter.register_structure_hook(str, _strict(str))
+    converter.register_structure_hook(bool, _strict_hook(bool))
+    converter.register_structure_hook(int, _strict_hook(int))
+    converter.register_structure_hook(float, _strict_hook(float, int))
+    converter.register_structure_hook(str, _strict_hook(str))
     converter.register_structure_hook(timedelta, _structure_duration)
     converter.register_unstructure_hook(timedelta, format_duration)
     for element in (str, ServiceRoute):
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_log.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_log.py
@@ -1,12 +1,13 @@
-"""The fold of the configuration stream: which records took effect, and what is in force.
+"""Folds the configuration stream into the configuration in force.
 
-The fold is a pure function of the stream, so every process comes to the same state. A publication
-or a preset switch names the revision it was made from and takes effect only if that revision is in
-force at its offset; its own offset is then the revision. So revisions only rise, and of two
-operators who start from one revision exactly one wins, the same one everywhere.
+The fold is a pure function of the stream, so every process computes the same state. A publication
+or preset switch names its base revision and takes effect only if that revision is in force at its
+offset. Its own offset then becomes the revision. Revisions therefore only increase, and of two
+operators who start from the same revision exactly one succeeds, on every process.
 
-A checkpoint holds the state before the offset `through`. It changes nothing for a reader who knows
-the state; it lets a reader start whose stream begins after offset 0 because older records ran out.
+A checkpoint holds the state before the offset `through`. A reader that already knows the state
+ignores it. It is needed by readers whose stream starts after offset 0 because older records have
+expired.
 """
 
 from __future__ import annotations
@@ -19,30 +20,31 @@
 
 from .configuration import Configuration
 from .configuration_checks import Fault
-from .configuration_document import ReadBefore, Refused, missing_preset, read_document
+from .configuration_document import PreviousDocument, Refused, missing_preset, read_document
 
 NO_REVISION = -1
-"""Revision before anything was published."""
+"""Revision before the first publication."""
 
 PENDING_LIMIT = 1000
-"""Most records kept while a gap hides the state they start from."""
+"""Maximum number of records buffered while the state before them is unknown."""
 
 UNCONDITIONAL = None
-"""Base of a publication that takes effect whatever is in force, where the state was lost."""
+"""Base of a publication that takes effect regardless of the revision in force, for use after the
+state was lost."""
 
 
 class Publication(msgspec.Struct, frozen=True, tag_field="kind", tag="publication"):
-    """A whole new configuration."""
+    """A complete new configuration."""
 
     record_id: str
     base: int | None
-    """Revision that it was made from."""
+    """Revision that the publication is based on."""
     preset: str
-    """Preset in force with it."""
+    """Preset that comes into force with it."""
     document: dict[str, Any]
     operator: str = ""
     published_at: float = 0.0
-    """Wall time of the operator in seconds since the epoch; the fold does not look at it."""
+    """Wall-clock time of the operator in seconds since the epoch; ignored by the fold."""
     note: str = ""
 
 
@@ -58,16 +60,17 @@
 
 
 class Checkpoint(msgspec.Struct, frozen=True, tag_field="kind", tag="checkpoint"):
-    """The state before an offset, written again before the records that made it run out."""
+    """The state before an offset, rewritten before the records that produced it expire."""
 
     record_id: str
     through: int
-    """The state is that of the records before this offset."""
+    """The state results from the records before this offset."""
     revision: int
     preset: str
     document: dict[str, Any]
     written_at: float = 0.0
-    """Wall time of the writer in seconds since the epoch; it only paces the next checkpoint."""
+    """Wall-clock time of the writer in seconds since the epoch; only used to schedule the next
+    checkpoint."""
 
 
 Entry = Publication | PresetSwitch | Checkpoint
@@ -75,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The record took effect; its offset is the revision in force after it."""
+    """The record took effect; its offset is the new revision."""
 
     revision: int
     preset: str
@@ -83,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The record was made from a revision that is not in force any more; it changed nothing."""
+    """The record is based on a revision that is no longer in force; it had no effect."""
 
     base: int
     revision_in_force: int
@@ -92,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The record may not take effect, whatever is in force."""
+    """The record is invalid regardless of the revision in force."""
 
     faults: tuple[Fault, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unjudged:
-    """The state at the record's offset is not known here, as older records ran out."""
+    """The state at the record's offset is unknown because older records have expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class Noted:
-    """A checkpoint; it changes nothing by itself."""
+    """A checkpoint, which does not change the configuration."""
 
 
 Verdict = Accepted | Conflict | Invalid | Unjudged | Noted
@@ -112,17 +115,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Judged:
-    """A record of the stream and what became of it."""
+    """A record of the stream with its verdict."""
 
     offset: int
     entry: Entry | None
-    """None for a record that could not be read."""
+    """None for a record that could not be decoded."""
     verdict: Verdict
 
 
 @dataclass(frozen=True, slots=True)
 class RawRecord:
-    """A record as it stands in the log."""
+    """An undecoded record of the log."""
 
     offset: int
     payload: bytes
@@ -130,19 +133,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FoldState:
-    """What the records before `position` amount to."""
+    """The state that results from the records before `position`."""
 
     position: int = 0
     """Offset of the next record."""
     configuration: Configuration | None = None
-    """What is in force; None before the first publication."""
+    """The configuration in force, or None before the first publication."""
     document: Mapping[str, Any] | None = None
     complete: bool = True
-    """Whether what is in force at `position` is known."""
+    """Whether the configuration in force at `position` is known."""
     gap_end: int = 0
-    """Records before this offset were never seen, where the state is not complete."""
+    """If the state is not complete, some records before this offset were never read."""
     pending: tuple[RawRecord, ...] = ()
-    """Records since the gap, kept until a checkpoint tells the state they start from."""
+    """Records since the gap, buffered until a checkpoint supplies the state before them."""
 
     @property
     def revision(self) -> int:
@@ -151,13 +154,13 @@
 
     @property
     def preset(self) -> str:
-        """Return the preset in force, empty before the first publication."""
+        """Return the preset in force, or an empty string before the first publication."""
         return "" if self.configuration is None else self.configuration.preset
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The state after a record, and the verdicts that it allowed."""
+    """The state after a record and the verdicts that became known with it."""
 
     state: FoldState
     judged: tuple[Judged, ...] = ()
@@ -167,12 +170,12 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """Return the payload of an entry."""
+    """Encode an entry as a record payload."""
     return msgspec.json.encode(entry)
 
 
 def decode_entry(payload: bytes) -> Entry | None:
-    """Return the entry of a payload, None if it is not one."""
+    """Decode a record payload, or return None if it is not a valid entry."""
     try:
         return _decoder.decode(payload)
     except msgspec.MsgspecError:
@@ -180,9 +183,9 @@
 
 
 def skip_to(state: FoldState, first_offset: int) -> FoldState:
-    """Return the state of a reader who can read on only from a later offset.
+    """Return the state after skipping to a later offset, the first that can still be read.
 
-    What is in force stays in force here: a gap may hide a newer revision, never an older one.
+    The configuration stays in force, because a gap can only hide a newer revision.
     """
     if first_offset <= state.position:
         return state
@@ -190,26 +193,26 @@
 
 
 def apply(state: FoldState, record: RawRecord) -> Step:
-    """Fold one record.
+    """Fold one record into the state.
 
     Args:
-        state: The state before it.
-        record: The record at `state.position`; an earlier one is passed over, so repeats are
-            harmless, and a later one is taken as the first after a gap.
+        state: The state before the record.
+        record: The record at `state.position`. An earlier record is ignored, so repeats are
+            harmless. A later record is treated as the first one after a gap.
     """
     if record.offset < state.position:
         return Step(state)
     state = skip_to(state, record.offset)
     if state.complete:
         return _judge(state, record)
-    return _collect(state, record)
+    return _buffer(state, record)
 
 
 def _judge(state: FoldState, record: RawRecord) -> Step:
     entry = decode_entry(record.payload)
     moved = replace(state, position=record.offset + 1)
     if entry is None:
-        fault = Fault("", "the record cannot be read")
+        fault = Fault("", "the record cannot be decoded")
         return Step(moved, (Judged(record.offset, None, Invalid((fault,))),))
     if isinstance(entry, Checkpoint):
         return Step(moved, (Judged(record.offset, entry, Noted()),))
@@ -218,10 +221,10 @@
         return Step(moved, (Judged(record.offset, entry, conflict),))
     if isinstance(entry, Publication):
         document: Mapping[str, Any] | None = entry.document
-        configuration = _published(state, entry, record.offset)
+        configuration = _apply_publication(state, entry, record.offset)
     else:
         document = state.document
-        configuration = _switched(state, entry, record.offset)
+        configuration = _apply_switch(state, entry, record.offset)
     if isinstance(configuration, Refused):
         return Step(moved, (Judged(record.offset, entry, Invalid(configuration.faults)),))
     accepted = replace(moved, configuration=configuration, document=document)
@@ -229,44 +232,46 @@
     return Step(accepted, (Judged(record.offset, entry, verdict),))
 
 
-def _published(state: FoldState, entry: Publication, revision: int) -> Configuration | Refused:
+def _apply_publication(
+    state: FoldState, entry: Publication, revision: int
+) -> Configuration | Refused:
     before = None
     if state.document is not None and state.configuration is not None:
-        before = ReadBefore(state.document, state.configuration)
+        before = PreviousDocument(state.document, state.configuration)
     return read_document(entry.document, revision, entry.preset, before)
 
 
-def _switched(state: FoldState, entry: PresetSwitch, revision: int) -> Configuration | Refused:
+def _apply_switch(state: FoldState, entry: PresetSwitch, revision: int) -> Configuration | Refused:
     if state.configuration is None:
-        return Refused((Fault("", "no configuration is in force whose preset could be switched"),))
+        return Refused((Fault("", "cannot switch the preset: no configuration is in force"),))
     if entry.preset not in state.configuration.presets_by_name:
         return Refused((missing_preset(entry.preset),))
     return replace(state.configuration, revision=revision, preset=entry.preset)
 
 
-def _collect(state: FoldState, record: RawRecord) -> Step:
-    """Take a record after a gap, and judge all since the gap once a checkpoint covers it."""
+def _buffer(state: FoldState, record: RawRecord) -> Step:
+    """Buffer a record after a gap, and fold the buffer once a checkpoint covers the gap."""
     pending = (*state.pending, record)[-PENDING_LIMIT:]
     gap_end = max(state.gap_end, pending[0].offset)
-    waiting = replace(state, position=record.offset + 1, pending=pending, gap_end=gap_end)
+    buffered = replace(state, position=record.offset + 1, pending=pending, gap_end=gap_end)
     entry = decode_entry(record.payload)
     if isinstance(entry, Publication) and entry.base is UNCONDITIONAL:
-        # The state before it does not matter, so what follows from it is known again.
-        known = replace(state, complete=True, pending=(), position=record.offset)
-        step = _judge(known, record)
+        # An unconditional publication does not depend on the unknown state before it.
+        resumed = replace(state, complete=True, pending=(), position=record.offset)
+        step = _judge(resumed, record)
         if isinstance(step.judged[0].verdict, Accepted):
             return step
-        return Step(waiting, (Judged(record.offset, entry, step.judged[0].verdict),))
+        return Step(buffered, (Judged(record.offset, entry, step.judged[0].verdict),))
     if not isinstance(entry, Checkpoint):
-        return Step(waiting, (Judged(record.offset, entry, Unjudged()),))
-    # The checkpoint may be older than records read before it: another process wrote it while they
-    # came in. Starting from its offset `through` and judging those again gives the same state as
-    # a reader of the whole stream has. One that reaches back before the gap cannot be used.
+        return Step(buffered, (Judged(record.offset, entry, Unjudged()),))
+    # The checkpoint may be older than buffered records that were appended while another process
+    # wrote it. Folding the buffered records from its offset `through` gives the same state as
+    # reading the whole stream. A checkpoint of a state before the end of the gap cannot be used.
     if not gap_end <= entry.through <= record.offset or entry.revision < state.revision:
-        return Step(waiting, (Judged(record.offset, entry, Noted()),))
-    base = _state_of(entry)
+        return Step(buffered, (Judged(record.offset, entry, Noted()),))
+    base = _restore_checkpoint(entry)
     if base is None:
-        return Step(waiting, (Judged(record.offset, entry, Noted()),))
+        return Step(buffered, (Judged(record.offset, entry, Noted()),))
     judged: list[Judged] = []
     for each in pending:
         if each.offset >= entry.through:
@@ -276,7 +281,7 @@
     return Step(base, tuple(judged))
 
 
-def _state_of(checkpoint: Checkpoint) -> FoldState | None:
+def _restore_checkpoint(checkpoint: Checkpoint) -> FoldState | None:
     if checkpoint.revision == NO_REVISION:
         return FoldState(position=checkpoint.through)
     configuration = read_document(checkpoint.document, checkpoint.revision, checkpoint.preset)
@@ -288,7 +293,7 @@
 
 
 def checkpoint_of(state: FoldState, record_id: str, written_at: float) -> Checkpoint | None:
-    """Return the checkpoint of a state, None where there is nothing to renew."""
+    """Return the checkpoint of a state, or None if the state is incomplete or empty."""
     if not state.complete or state.configuration is None or state.document is None:
         return None
     return Checkpoint(
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch_decisions.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch_decisions.py
@@ -1,4 +1,4 @@
-"""What a request at an entry may decide, and which of several refusals its caller is told."""
+"""Decisions of `Dispatch`, and the choice of the refusal that a caller gets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         NotRunReason.WITHDRAWN,
     }
 )
-"""Reasons that lie in the request or its account, so that another agent would say the same."""
+"""Reasons caused by the request or its account, so that every other agent would refuse it too."""
 
 REASONS_BY_RANK = (
     NotRunReason.OVERLOADED,
@@ -28,12 +28,12 @@
     NotRunReason.UNCONFIGURED,
     NotRunReason.NO_BACKEND,
 )
-"""Which of several agents' reasons the caller is told: the one that says most comes first."""
+"""Order of preference, most informative first, when several agents refuse for different reasons."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Send a reservation to an agent."""
+    """Send a reservation request to an agent."""
 
     agent_id: str
 
@@ -44,19 +44,19 @@
 
     agent_id: str
     resumed: bool = False
-    """Whether the text that the caller already has goes with it."""
+    """Whether the text already delivered to the caller is sent with the body."""
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawFrom:
-    """Tell an agent that the reservation, or the run, is no longer wanted."""
+    """Cancel the reservation or the run at an agent."""
 
     agent_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Conclude:
-    """Give the caller the request's one outcome."""
+    """End the request with its final outcome."""
 
     outcome: Outcome
 
@@ -65,7 +65,7 @@
 
 
 def best_refusal(refusals: list[NotRun]) -> NotRun:
-    """Return one refusal for several: the reason that says most, the earliest time to come back.
+    """Combine several refusals: the most informative reason and the shortest retry delay.
 
     Example:
         >>> from datetime import timedelta
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/durations.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/durations.py
@@ -1,4 +1,4 @@
-"""The written form of a duration: a number with its unit, such as `250ms`, `1.5s`, `2m` or `1h`."""
+"""Parses and formats durations written as a number with a unit, such as `250ms`, `1.5s` or `2m`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def parse_duration(text: str) -> timedelta:
-    """Return the duration that a text names.
+    """Parse a duration.
 
     Args:
         text: A number and one of the units ms, s, m, h and d.
@@ -38,11 +38,11 @@
     try:
         return float(match[1]) * _UNITS_BY_SUFFIX[match[2]]
     except OverflowError:
-        raise DurationError(f"{text!r} is too long a duration") from None
+        raise DurationError(f"{text!r} exceeds the maximum duration") from None
 
 
 def format_duration(duration: timedelta) -> str:
-    """Return the text for a duration, in the largest unit that gives a whole number.
+    """Format a duration in the largest unit that gives a whole number.
 
     Example:
         >>> format_duration(timedelta(seconds=90)), format_duration(timedelta(minutes=2))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/ejection.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/ejection.py
@@ -1,7 +1,8 @@
-"""Ejection of agents that are slow against their peers or silent, and their return by probes.
+"""Ejects agents that are silent or slower than their peers, and readmits them after probes.
 
-A slow engine is worse than a dead one: it goes on taking requests. Its own load report cannot be
-believed (it lags, and it says nothing of speed), so the verdict rests on what requests saw.
+A slow engine is worse than a dead one because it keeps accepting requests. Its own load report is
+not sufficient, since it lags and does not include speed. Detection therefore uses the latencies
+that requests observed.
 """
 
 from __future__ import annotations
@@ -19,43 +20,45 @@
     from collections.abc import Iterable
 
 SAMPLES_KEPT = 15
-"""Latest latencies kept for each agent and kind of latency."""
+"""Number of latest latencies kept per agent and kind of latency."""
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionSettings:
-    """When an agent is ejected and when it comes back."""
+    """Thresholds for the ejection and readmission of agents."""
 
     between_token_factor: float = 3.5
-    """Multiple of the peers' median between-token time that is too slow; engines of one pool may
-    differ by the factor four in speed, about 2.5 from the median."""
+    """Multiple of the peers' median between-token time above which an agent is too slow. Engines of
+    one pool may differ in speed by a factor of four, which is about 2.5 from the median."""
     first_token_factor: float = 5.0
-    """Multiple of the peers' median time to first token that is too slow; prompts differ more."""
+    """Multiple of the peers' median time to first token above which an agent is too slow. It is
+    larger because prompts vary more."""
     first_token_excess: timedelta = timedelta(seconds=1)
-    """Time to first token above the peers' median without which no agent is ejected for it."""
+    """Minimum excess over the peers' median time to first token for an ejection."""
     minimum_samples: int = 5
-    """Latencies of an agent before it is judged."""
+    """Minimum latencies of an agent before it is evaluated."""
     minimum_peers: int = 2
-    """Other agents with enough latencies before one is judged."""
+    """Minimum number of peers with enough latencies before an agent is evaluated."""
     maximum_share: float = 0.34
-    """Share of a pool that may be ejected at one time."""
+    """Maximum share of a pool that may be ejected at the same time."""
     sample_lifetime: timedelta = timedelta(seconds=30)
-    """Age of an agent's newest latency at which its latencies no longer count."""
+    """Age of an agent's newest latency above which all its latencies are ignored."""
     silence: timedelta = timedelta(seconds=3)
-    """Time without any progress, while requests run, after which an agent is ejected."""
+    """Time without progress on any running request after which an agent is ejected."""
     first_ejection: timedelta = timedelta(seconds=2)
-    """Length of a first ejection; each failed probe doubles it."""
+    """Duration of the first ejection; each failed probe doubles it."""
     longest_ejection: timedelta = timedelta(seconds=60)
     probes: int = 3
-    """Latencies in the peers' range that close the circuit again."""
+    """Number of latencies within the peers' range that close the circuit again."""
     urgent_probe_after: timedelta = timedelta(seconds=4)
-    """Time without a probe after which a request of the most urgent tier may be one."""
+    """Time after the end of an ejection from which a request of the most urgent tier may be a
+    probe."""
     probe_lifetime: timedelta = timedelta(seconds=3)
-    """Time after which a probe that brought no latency makes room for another."""
+    """Time after which a probe without a result may be followed by another one."""
 
 
 class _Latencies:
-    """Latest latencies of one kind, and their median, which is taken once for each change."""
+    """Latest latencies of one kind, with a cached median."""
 
     def __init__(self) -> None:
         self._samples: deque[float] = deque(maxlen=SAMPLES_KEPT)
@@ -70,7 +73,7 @@
         self._median = None
 
     def median(self, since: Instant, minimum: int) -> float | None:
-        """Return the median, or None where there are too few samples or the newest is too old."""
+        """Return the median, or None if there are too few samples or the newest is too old."""
         if len(self._samples) < minimum or self._newest_at < since:
             return None
         if self._median is None:
@@ -84,7 +87,7 @@
 
 @dataclass(slots=True)
 class _Circuit:
-    """What is known of one agent."""
+    """Circuit breaker state and latencies of one agent."""
 
     state: str
     first_token: _Latencies = field(default_factory=_Latencies)
@@ -98,7 +101,7 @@
 
 
 class OutlierDetector:
-    """Keeps one circuit for each agent."""
+    """Detects slow and silent agents with one circuit breaker per agent."""
 
     def __init__(self, settings: EjectionSettings | None = None) -> None:
         self._settings = settings or EjectionSettings()
@@ -106,12 +109,12 @@
         self._circuits_by_id: dict[str, _Circuit] = {}
 
     def add(self, agent_id: str) -> None:
-        """Begin to watch an agent; a known one is left as it is."""
+        """Start tracking an agent; has no effect for a known agent."""
         if agent_id not in self._circuits_by_id:
             self._circuits_by_id[agent_id] = _Circuit(self._chart.initial)
 
     def remove(self, agent_id: str) -> None:
-        """Forget an agent."""
+        """Stop tracking an agent."""
         self._circuits_by_id.pop(agent_id, None)
 
     def submitted(self, agent_id: str, now: Instant) -> None:
@@ -124,13 +127,13 @@
         circuit.running += 1
 
     def progressed(self, agent_id: str, now: Instant) -> None:
-        """Note that an agent gave a piece of some answer."""
+        """Record that an agent delivered a chunk of an answer."""
         circuit = self._circuits_by_id.get(agent_id)
         if circuit is not None:
             circuit.progressed_at = now
 
     def released(self, agent_id: str, now: Instant) -> None:
-        """Count a request that ended at an agent in any way."""
+        """Count the end of a request at an agent, whatever its outcome."""
         circuit = self._circuits_by_id.get(agent_id)
         if circuit is not None:
             circuit.running = max(0, circuit.running - 1)
@@ -143,7 +146,7 @@
         peers: Iterable[str],
         now: Instant,
     ) -> None:
-        """Record latencies that a request saw, and judge the agent against its peers."""
+        """Record latencies observed by a request, and compare the agent with its peers."""
         circuit = self._circuits_by_id.get(agent_id)
         if circuit is None:
             return
@@ -154,16 +157,16 @@
             circuit.between_tokens.add(between_tokens.total_seconds(), now, since)
         others = [each for each in peers if each != agent_id]
         if circuit.state == "half_open":
-            self._judge_probe(circuit, others, between_tokens, first_token, now)
+            self._evaluate_probe(circuit, others, between_tokens, first_token, now)
         elif circuit.state == "closed" and self._is_slow(circuit, others, now):
             self._eject(circuit, others, now)
 
     def is_ejected(self, agent_id: str, peers: Iterable[str], now: Instant) -> bool:
-        """Return whether requests should not be at an agent now."""
+        """Return whether an agent is currently ejected."""
         return self.state(agent_id, peers, now) == "open"
 
     def state(self, agent_id: str, peers: Iterable[str], now: Instant) -> str:
-        """Return the state of an agent's circuit, after silence and the end of an ejection."""
+        """Return the state of an agent's circuit, updated for silence and an expired ejection."""
         circuit = self._circuits_by_id.get(agent_id)
         if circuit is None:
             return self._chart.initial
@@ -179,15 +182,15 @@
     def wants_probe(self, agent_id: str, urgent: bool, now: Instant) -> bool:
         """Return whether a request may be the probe of a half-open agent.
 
-        A probe may be stuck at an agent that is no better. Urgent requests are spared it while
-        others may come, and there is one at a time.
+        A probe may get stuck at an agent that is still slow. Only one probe is sent at a time, and
+        urgent requests serve as probes only some time after the ejection has ended.
         """
         circuit = self._circuits_by_id[agent_id]
         urgent_after = circuit.open_until + self._settings.urgent_probe_after.total_seconds()
         return now >= (max(circuit.probe_until, urgent_after) if urgent else circuit.probe_until)
 
     def probe_sent(self, agent_id: str, now: Instant) -> None:
-        """Note that a request goes to a half-open agent as its probe."""
+        """Record that a request is sent to a half-open agent as its probe."""
         lifetime = self._settings.probe_lifetime.total_seconds()
         self._circuits_by_id[agent_id].probe_until = now + lifetime
 
@@ -197,22 +200,24 @@
 
     def _is_slow(self, circuit: _Circuit, others: list[str], now: Instant) -> bool:
         since = now - self._settings.sample_lifetime.total_seconds()
-        own = circuit.between_tokens.median(since, self._settings.minimum_samples)
-        if own is not None and self._between_tokens_too_slow(own, others, since):
+        own_median = circuit.between_tokens.median(since, self._settings.minimum_samples)
+        if own_median is not None and self._between_tokens_too_slow(own_median, others, since):
             return True
-        own = circuit.first_token.median(since, self._settings.minimum_samples)
-        return own is not None and self._first_token_too_slow(own, others, since)
+        own_median = circuit.first_token.median(since, self._settings.minimum_samples)
+        return own_median is not None and self._first_token_too_slow(own_median, others, since)
 
     def _between_tokens_too_slow(self, seconds: float, others: list[str], since: Instant) -> bool:
-        usual = self._median_of_peers("between_tokens", others, since)
-        return usual is not None and seconds > usual * self._settings.between_token_factor
+        peer_median = self._median_of_peers("between_tokens", others, since)
+        return (
+            peer_median is not None and seconds > peer_median * self._settings.between_token_factor
+        )
 
     def _first_token_too_slow(self, seconds: float, others: list[str], since: Instant) -> bool:
-        usual = self._median_of_peers("first_token", others, since)
-        if usual is None:
+        peer_median = self._median_of_peers("first_token", others, since)
+        if peer_median is None:
             return False
         excess = self._settings.first_token_excess.total_seconds()
-        return seconds > max(usual * self._settings.first_token_factor, usual + excess)
+        return seconds > max(peer_median * self._settings.first_token_factor, peer_median + excess)
 
     def _median_of_peers(self, kind: str, others: list[str], since: Instant) -> float | None:
         medians = []
@@ -221,12 +226,12 @@
             if circuit is None or circuit.state != "closed":
                 continue
             latencies: _Latencies = getattr(circuit, kind)
-            own = latencies.median(since, self._settings.minimum_samples)
-            if own is not None:
-                medians.append(own)
+            own_median = latencies.median(since, self._settings.minimum_samples)
+            if own_median is not None:
+                medians.append(own_median)
         return median(medians) if len(medians) >= self._settings.minimum_peers else None
 
-    def _judge_probe(
+    def _evaluate_probe(
         self,
         circuit: _Circuit,
         others: list[str],
@@ -265,9 +270,9 @@
         circuit.ejections += 1
 
     def _may_eject(self, others: list[str]) -> bool:
-        # Failure: the network of this entry, or a burst of long prompts, makes every agent look
-        # slow. Ejecting one after the other would pile the load on the last ones; the bounded
-        # share holds because it counts the pool's circuits that are not closed.
+        # A network problem of this entry or a burst of long prompts makes every agent look slow.
+        # Ejecting them one after another would overload the remaining ones. The share is limited
+        # by counting all circuits of the pool that are not closed.
         circuits = [self._circuits_by_id[each] for each in others if each in self._circuits_by_id]
         ejected = sum(each.state != "closed" for each in circuits)
         return ejected + 1 <= (len(circuits) + 1) * self._settings.maximum_share
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/engine_orders.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/engine_orders.py
@@ -1,9 +1,9 @@
-"""Orders to a model engine: what it should have loaded, and which order to give next.
+"""Orders to a model engine: the desired state, and which orders are due.
 
-Only the agent beside the engine gives orders. Each carries the agent's fencing number, the log
-offset of its own start record, so an engine that checks it refuses the agent that was replaced. An
-engine that ignores the number may be changed back by a replaced agent which was paused and goes on;
-so the orders set a state, and the present agent gives all of them again at an interval.
+Only the agent of an engine sends it orders. Each order carries the agent's fencing number, which is
+the log offset of the agent's start record. An engine that checks the number refuses orders of a
+replaced agent. An engine that ignores it may be changed back by a replaced agent that resumes after
+a pause. Orders therefore set a state, and the current agent repeats all of them at an interval.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
     from .configuration import Configuration
 
 DEFAULT_REASSERT_INTERVAL = timedelta(seconds=30)
-"""How long an engine that ignores fencing numbers may keep what a replaced agent ordered."""
+"""Interval at which orders are repeated; it bounds how long an engine that ignores fencing numbers
+may keep the state set by a replaced agent."""
 DEFAULT_RETRY_INTERVAL = timedelta(seconds=2)
 
 
 class EngineOrderKind(StrEnum):
-    """What an engine can be told to do."""
+    """Kinds of orders that an engine accepts."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """One order; giving it twice leaves the engine as giving it once."""
+    """One idempotent order to an engine."""
 
     kind: EngineOrderKind
     target: str
@@ -48,17 +49,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredEngine:
-    """What an engine should have loaded and be."""
+    """Models, adapters and role that an engine should have."""
 
     versions_by_model: Mapping[str, str] = field(default_factory=dict)
     versions_by_adapter: Mapping[str, str] = field(default_factory=dict)
     role: str = ""
-    """Empty where the engine has no roles."""
+    """Empty if the engine has no roles."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedEngine:
-    """What an engine says that it has loaded; it may lag."""
+    """Models, adapters and role that an engine reports; the report may lag."""
 
     versions_by_model: Mapping[str, str] = field(default_factory=dict)
     versions_by_adapter: Mapping[str, str] = field(default_factory=dict)
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Attempt:
-    """The last time an order was given."""
+    """The last attempt to send an order."""
 
     at: Instant
     taken: bool
@@ -75,19 +76,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """The engine has taken an order of a newer agent; this one must give none any more."""
+    """The engine accepted an order of a newer agent; this agent must not send orders any more."""
 
     highest_fencing_number: int
 
 
 def desired_engine(configuration: Configuration, targets: Iterable[str]) -> DesiredEngine:
-    """Return what the configuration wants of an engine that serves some models."""
+    """Return the desired state of an engine that serves the given models."""
     models = configuration.models_by_name
     return DesiredEngine({name: models[name].version for name in targets if name in models})
 
 
 class EngineOrders:
-    """Chooses the orders of one agent to its engine."""
+    """Determines which orders an agent sends to its engine."""
 
     def __init__(
         self,
@@ -95,12 +96,12 @@
         reassert_interval: timedelta = DEFAULT_REASSERT_INTERVAL,
         retry_interval: timedelta = DEFAULT_RETRY_INTERVAL,
     ) -> None:
-        """Create a chooser.
+        """Initialize without any attempted orders.
 
         Args:
             fencing_number: Log offset of the agent's start record.
-            reassert_interval: Time after which an order that was taken is given again.
-            retry_interval: Time between two attempts at an order that failed.
+            reassert_interval: Time after which an accepted order is repeated.
+            retry_interval: Time between two attempts to send an order that failed.
         """
         self._fencing_number = fencing_number
         self._reassert_interval = reassert_interval.total_seconds()
@@ -110,59 +111,63 @@
 
     @property
     def superseded(self) -> Superseded | None:
-        """Return by which newer agent this one was replaced, None if it was not."""
+        """Return the newer agent's fencing number if this agent was replaced, otherwise None."""
         return self._superseded
 
     def due(
         self, desired: DesiredEngine, reported: ReportedEngine | None, now: Instant
     ) -> tuple[EngineOrder, ...]:
-        """Return the orders to give now, in the order in which to give them.
+        """Return the orders to send now, in sequence.
 
         Args:
-            desired: What the engine should have.
-            reported: What it says it has; None where it does not say.
-            now: The time.
+            desired: The state that the engine should have.
+            reported: The state that the engine reports, or None if it does not report.
+            now: The current time.
         """
         if self._superseded is not None:
             return ()
-        wanted = self._orders_for(desired)
-        # What is not wanted any more must not come back at an interval.
+        desired_orders = self._orders_for(desired)
+        # Forget attempts of orders that are no longer desired.
         self._attempts_by_order = {
-            order: attempt for order, attempt in self._attempts_by_order.items() if order in wanted
+            order: attempt
+            for order, attempt in self._attempts_by_order.items()
+            if order in desired_orders
         }
-        return tuple(order for order in wanted if self._is_due(order, reported, now))
+        return tuple(order for order in desired_orders if self._is_due(order, reported, now))
 
     def taken(self, order: EngineOrder, now: Instant) -> None:
-        """Note that the engine took an order."""
+        """Record that the engine accepted an order."""
         self._attempts_by_order[order] = _Attempt(now, taken=True)
 
     def failed(self, order: EngineOrder, now: Instant) -> None:
-        """Note that an order had no answer or an error; it may have taken effect."""
+        """Record that an order got no answer or an error; it may still have taken effect."""
         self._attempts_by_order[order] = _Attempt(now, taken=False)
 
     def refused(self, highest_fencing_number: int) -> Superseded | None:
-        """Note that the engine refused an order for its old number.
+        """Record that the engine refused an order because of its fencing number.
 
         Returns:
-            By which newer agent this one was replaced; None if the engine's number is not newer.
+            The newer agent's fencing number, or None if the engine's number is not newer.
         """
-        # The start records of one place rise in the log, so a higher number is a newer agent. This
-        # one was paused or cut off while it was replaced. Were it to go on, the two would change
-        # the engine to and fro, which shows as models that load again and again.
+        # Start records of an agent's place have increasing offsets, so a higher number belongs to a
+        # newer agent. This agent was replaced while it was paused or disconnected. If it continued,
+        # the two agents would keep reverting each other and models would be reloaded repeatedly.
         if highest_fencing_number > self._fencing_number:
             self._superseded = Superseded(highest_fencing_number)
         return self._superseded
 
     def _is_due(self, order: EngineOrder, reported: ReportedEngine | None, now: Instant) -> bool:
-        if reported is not None and _shows(reported, order):
+        if reported is not None and _is_confirmed(reported, order):
             return False
         attempt = self._attempts_by_order.get(order)
         if attempt is None:
             return True
-        # A report that does not show an order yet may lag behind it, so that one is not repeated
-        # faster than a failed one.
-        rests = attempt.taken and reported is None
-        return now >= attempt.at + (self._reassert_interval if rests else self._retry_interval)
+        # A report may lag behind an accepted order, so the order is repeated no faster than a
+        # failed one.
+        is_unconfirmed = attempt.taken and reported is None
+        return now >= attempt.at + (
+            self._reassert_interval if is_unconfirmed else self._retry_interval
+        )
 
     def _orders_for(self, desired: DesiredEngine) -> tuple[EngineOrder, ...]:
         orders = []
@@ -178,7 +183,7 @@
         return EngineOrder(kind, target, version, self._fencing_number)
 
 
-def _shows(reported: ReportedEngine, order: EngineOrder) -> bool:
+def _is_confirmed(reported: ReportedEngine, order: EngineOrder) -> bool:
     match order.kind:
         case EngineOrderKind.CHANGE_ROLE:
             return reported.role == order.target
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/engine_state.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/engine_state.py
@@ -1,4 +1,4 @@
-"""What the decisions about one backend server share."""
+"""State of one backend server that is shared by admission, aging, preemption and scheduling."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
     from .reservations import Reservation
 
 STALL_SECONDS = 1.0
-"""Silence of all streams after which the backend server counts as stalled."""
+"""Time without a token on any stream after which the backend server counts as stalled."""
 
-PROBE_SECONDS = 5.0
-"""Silence after which one request at a time is sent all the same, to see whether it is answered."""
+STALL_PROBE_SECONDS = 5.0
+"""Time without a token after which one request at a time is sent to a stalled server as a probe."""
 
-STALL_STREAMS = 2
-"""Streams that must be silent together; one alone may be silent for a reason of its own."""
+STALL_MINIMUM_STREAMS = 2
+"""Minimum number of streams needed to detect a stall. A single stream may be silent for a reason
+of its own."""
 
 
 class EngineState:
-    """Queue, slots, limit and what was learned of one backend server."""
+    """Queue, slots, concurrency limit and estimates of one backend server."""
 
     def __init__(self, configuration: Configuration, initial_limit: int, maximum: int) -> None:
         self.configuration = configuration
@@ -39,9 +40,9 @@
         self.waits = WaitModel(self.queue, self.slots, self.estimates, self.pace)
 
     def admits(self, reservation: Reservation) -> bool:
-        """Return whether a reservation's class is known and served by the preset in force.
+        """Return whether a reservation's class is configured and admitted by the preset in force.
 
-        A preset does not end an answer that has begun, perhaps on an engine that was lost.
+        A preset does not end an answer that has begun, possibly on another engine that was lost.
         """
         name = reservation.request_class
         if name not in self.configuration.classes_by_name:
@@ -49,7 +50,7 @@
         return reservation.resumed_tokens > 0 or self.configuration.admits(name)
 
     def class_in_force(self, name: str, known: RequestClass | None) -> RequestClass:
-        """Return a class under the preset in force; one that is configured no more as it was."""
+        """Return a class under the preset in force, or `known` if it is no longer configured."""
         if known is not None and name not in self.configuration.classes_by_name:
             return known
         return self.configuration.class_in_force(name)
@@ -57,12 +58,12 @@
     def queued_request(
         self, reservation: Reservation, now: Instant, known: RequestClass | None = None
     ) -> QueuedRequest:
-        """Return a reservation as it is queued under the preset in force.
+        """Create the queue entry of a reservation under the preset in force.
 
         Args:
-            reservation: What asks for a slot.
-            now: The present instant.
-            known: The class that a request which has begun was run under.
+            reservation: The reservation to queue.
+            now: The current time.
+            known: The class of the previous run, for a request that has already begun.
         """
         account = self.configuration.accounts_by_name.get(reservation.account)
         request_class = self.class_in_force(reservation.request_class, known)
@@ -81,45 +82,45 @@
         )
 
     def wait_in_tier(self, tier: int, ahead: float, now: Instant) -> float:
-        """Return the predicted wait of a request of a tier with so many ahead of it."""
+        """Return the predicted wait in seconds of a request with `ahead` requests ahead of it."""
         return self.waits.wait(self.waits.tier_load(tier, now), ahead, self.limit.value)
 
     def slack(self, request: QueuedRequest, now: Instant) -> float:
-        """Return the seconds in which a request must get its slot to meet its target."""
+        """Return the time in seconds within which a request needs a slot to meet its target."""
         start = self.pace.first_token(request.request_class.name)
         target = request.request_class.first_token_target.total_seconds()
         return request.arrived_at + target - start - now
 
     def silence(self, now: Instant) -> float:
-        """Return how long all streams have been silent; 0 where that says nothing."""
+        """Return the seconds since the last token of any stream, or 0 with too few streams."""
         running = self.slots.running_by_id.values()
-        last = [each.last_token_at for each in running if each.tokens]
-        if len(last) < STALL_STREAMS:
+        last_token_times = [each.last_token_at for each in running if each.tokens]
+        if len(last_token_times) < STALL_MINIMUM_STREAMS:
             return 0.0
-        return now - max(last)
+        return now - max(last_token_times)
 
     def is_stalled(self, now: Instant) -> bool:
-        """Return whether the backend server gives no stream anything."""
+        """Return whether the backend server has stopped sending tokens on all streams."""
         return self.silence(now) > STALL_SECONDS
 
     def may_grant(self, now: Instant) -> bool:
-        """Return whether a slot is free and the backend server answers.
+        """Return whether a slot is free and the backend server is not stalled.
 
-        The streams may all be silent since their callers read nothing, on an engine that is well.
-        No token would ever end such a stall, so after a while one request at a time is let through.
+        On a healthy engine all streams may be silent because their callers have stopped reading. No
+        token would end such a stall, so after a while one request at a time is allowed as a probe.
         """
         if len(self.slots) >= self.limit.value:
             return False
         silence = self.silence(now)
         if silence <= STALL_SECONDS:
             return True
-        return silence > PROBE_SECONDS and not self.slots.awaits_first_token()
+        return silence > STALL_PROBE_SECONDS and not self.slots.awaits_first_token()
 
 
 def _arrived_at(reservation: Reservation, request_class: RequestClass, now: Instant) -> Instant:
-    """Return when the caller's request came, which the deadline set from its class tells.
+    """Return when the caller's request arrived, derived from its deadline.
 
-    Without it, a request that was given up elsewhere and asks here would be taken for a new one: it
-    would be queued for its whole limit once more, get a slot, and still miss its target.
+    A request that was refused by another agent has already waited. Treated as new, it would be
+    queued for its whole limit again, get a slot and still miss its target.
     """
     return min(now, reservation.deadline - request_class.deadline.total_seconds())
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/fair_queue.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/fair_queue.py
@@ -1,8 +1,8 @@
-"""The queue of one backend server: strict tiers, weighted fair sharing inside a tier.
+"""Request queue of one backend server, with strict tiers and weighted fair sharing within a tier.
 
-Sharing is start-time fair queueing on expected work, first between the classes of a tier, then
-between the accounts of a class. Requests leave a flow in order of arrival. Adding, removing and
-taking cost O(log n) in the number of flows that have requests.
+Start-time fair queueing on expected work shares slots between the classes of a tier, then between
+the accounts of a class. Each flow is first in, first out. Adding, removing and taking requests
+costs O(log n) in the number of non-empty flows.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     from collections.abc import Iterator, Mapping
 
 MINIMUM_WEIGHT = 1e-3
-"""Weight below which a flow is not allowed to fall, so that no share is zero."""
+"""Minimum weight of a flow, so that no share is zero."""
 
 
 @dataclass(slots=True, eq=False)
@@ -33,15 +33,15 @@
     request_class: RequestClass
     account_weight: float
     arrived_at: Instant
-    """When the request came to the system, perhaps by way of another agent's queue."""
+    """When the request arrived in the system, possibly first at another agent."""
     work: float
-    """Expected tokens still to generate."""
+    """Expected number of tokens still to generate."""
     begun: bool = False
-    """Whether part of the answer was generated, so that it must end and is not refused."""
+    """Whether part of the answer was already generated, so that the request must not be refused."""
     protected: bool = False
-    """Whether its next run may not be preempted before it made real progress."""
+    """Whether its next run is protected from preemption until it has made progress."""
     latest_start: Instant = field(init=False)
-    """When its class's queue limit, or its deadline, is used up."""
+    """When its class's queue limit or its deadline is reached, whichever is earlier."""
 
     def __post_init__(self) -> None:
         limit = self.arrived_at + self.request_class.queue_limit.total_seconds()
@@ -49,7 +49,7 @@
 
     @property
     def request_id(self) -> str:
-        """Id of the request."""
+        """Id of the reserved request."""
         return self.reservation.request_id
 
     @property
@@ -59,16 +59,16 @@
 
     @property
     def charged_work(self) -> float:
-        """Work that a slot is charged with; one that resumes near its end is not free."""
+        """Work charged for a slot; more than `work`, so that resuming near the end is not free."""
         return self.work + 1.0
 
 
 class _FairShare:
     """Start-time fair queueing between named members.
 
-    A member that was served keeps its finish tag while that lies ahead of the virtual time, that
-    is for about one round: it cannot come back as if it had not been served, and it counts among
-    those that a queued request shares with.
+    A member that has become idle keeps its finish tag until the virtual time passes it, which takes
+    about one round. Until then it cannot return as if it had not been served, and its weight still
+    counts when the share of a queued request is estimated.
     """
 
     def __init__(self) -> None:
@@ -82,7 +82,7 @@
         self._round_weight = 0.0
 
     def activate(self, name: str, weight: float) -> None:
-        """Let a member that has requests take part."""
+        """Activate a member that has queued requests."""
         if name in self._weight_by_active_name:
             return
         weight = max(weight, MINIMUM_WEIGHT)
@@ -91,19 +91,19 @@
         self._push(name, max(self._virtual_time, self._finish_by_name.get(name, 0.0)))
 
     def deactivate(self, name: str) -> None:
-        """Take a member out that has nothing left; its place in the heap is dropped when met."""
+        """Deactivate a member without queued requests; its heap item is removed lazily."""
         weight = self._weight_by_active_name.pop(name)
         if not self._weight_by_active_name:
-            self._begin_anew()
+            self._reset()
         elif name in self._finish_by_name:
             self._weight_by_idle_name[name] = weight
             heappush(self._idle_heap, (self._finish_by_name[name], name))
-            self._forget_past_members()
+            self._remove_expired_members()
         else:
             self._round_weight -= weight
 
     def first(self) -> str:
-        """Return the member whose turn it is; ties go by name."""
+        """Return the member to serve next; ties are broken by name."""
         while self._is_stale(*self._heap[0]):
             start, name = heappop(self._heap)
             if self._start_by_name.get(name) == start:
@@ -111,31 +111,31 @@
         return self._heap[0][1]
 
     def charge(self, name: str, work: float) -> None:
-        """Account work that an active member was given."""
+        """Charge an active member for work."""
         start = self._start_by_name.get(name, self._virtual_time)
         self._virtual_time = max(self._virtual_time, min(start, self._heap[0][0]))
         self._finish_by_name[name] = start + work / self._weight_by_active_name[name]
         self._push(name, self._finish_by_name[name])
-        self._forget_past_members()
+        self._remove_expired_members()
 
     def in_service_order(
         self, requests_by_name: Mapping[str, Iterator[QueuedRequest]]
     ) -> Iterator[QueuedRequest]:
-        """Yield the members' requests in the order of their turns."""
-        turns = [(self._start_by_name[each], each) for each in self._weight_by_active_name]
-        heapify(turns)
-        while turns:
-            start, name = turns[0]
+        """Yield the members' requests in service order."""
+        heap = [(self._start_by_name[each], each) for each in self._weight_by_active_name]
+        heapify(heap)
+        while heap:
+            start, name = heap[0]
             request = next(requests_by_name[name], None)
             if request is None:
-                heappop(turns)
+                heappop(heap)
                 continue
             yield request
             finish = start + request.charged_work / self._weight_by_active_name[name]
-            heapreplace(turns, (finish, name))
+            heapreplace(heap, (finish, name))
 
     def share_ratio(self, name: str, weight: float) -> float:
-        """Return the weight of all members of a round, this one included, over its own."""
+        """Return the total weight of a round, including this member, divided by its own weight."""
         own = max(weight, MINIMUM_WEIGHT)
         counted = self._weight_by_active_name.get(name) or self._weight_by_idle_name.get(name, 0.0)
         return (self._round_weight - counted + own) / own
@@ -149,14 +149,14 @@
     def _is_stale(self, start: float, name: str) -> bool:
         return name not in self._weight_by_active_name or self._start_by_name.get(name) != start
 
-    def _forget_past_members(self) -> None:
+    def _remove_expired_members(self) -> None:
         while self._idle_heap and self._idle_heap[0][0] <= self._virtual_time:
             finish, name = heappop(self._idle_heap)
             if name in self._weight_by_idle_name and self._finish_by_name.get(name) == finish:
                 self._round_weight -= self._weight_by_idle_name.pop(name)
                 del self._finish_by_name[name]
 
-    def _begin_anew(self) -> None:
+    def _reset(self) -> None:
         self._virtual_time = 0.0
         self._round_weight = 0.0
         self._heap.clear()
@@ -167,7 +167,7 @@
 
 
 class _ClassQueue:
-    """Requests of one class: begun ones first, then the accounts in fair turns."""
+    """Requests of one class: begun ones first, then fair sharing between accounts."""
 
     def __init__(self) -> None:
         self.share = _FairShare()
@@ -187,7 +187,7 @@
         self.share.activate(account, request.account_weight)
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take a request out without accounting its work."""
+        """Remove a request without charging its work."""
         self.count -= 1
         if self.begun_by_id.pop(request.request_id, None) is not None:
             return
@@ -199,19 +199,19 @@
             self.share.deactivate(account)
 
     def first(self) -> QueuedRequest:
-        """Return the request whose turn it is."""
+        """Return the request to serve next."""
         if self.begun_by_id:
             return next(iter(self.begun_by_id.values()))
         return next(iter(self.flow_by_account[self.share.first()].values()))
 
     def in_service_order(self) -> Iterator[QueuedRequest]:
-        """Yield the requests in the order of their turns."""
+        """Yield the requests in service order."""
         flows = {name: iter(flow.values()) for name, flow in self.flow_by_account.items()}
         return chain(self.begun_by_id.values(), self.share.in_service_order(flows))
 
 
 class _TierQueue:
-    """Classes of one tier in fair turns."""
+    """Requests of one tier, with fair sharing between classes."""
 
     def __init__(self) -> None:
         self.share = _FairShare()
@@ -228,7 +228,7 @@
         self.work += request.work
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take a request out without accounting its work."""
+        """Remove a request without charging its work."""
         name = request.request_class.name
         queue = self.queue_by_class[name]
         queue.remove(request)
@@ -238,7 +238,7 @@
             self.share.deactivate(name)
 
     def take(self, request: QueuedRequest) -> None:
-        """Take a request out for a slot and account its work to its class and account."""
+        """Remove a request that gets a slot, and charge its class and account for its work."""
         queue = self.queue_by_class[request.request_class.name]
         if not request.begun:
             queue.share.charge(request.reservation.account, request.charged_work)
@@ -246,11 +246,11 @@
         self.remove(request)
 
     def first(self) -> QueuedRequest:
-        """Return the request whose turn it is."""
+        """Return the request to serve next."""
         return self.queue_by_class[self.share.first()].first()
 
     def in_service_order(self) -> Iterator[QueuedRequest]:
-        """Yield the requests in the order of their turns."""
+        """Yield the requests in service order."""
         queues = {
             name: queue.in_service_order()
             for name, queue in self.queue_by_class.items()
@@ -260,7 +260,7 @@
 
 
 class FairQueue:
-    """Requests that wait for a slot, in strict tiers and fair shares."""
+    """Requests waiting for a slot, ordered by strict tiers and fair shares within a tier."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, QueuedRequest] = {}
@@ -277,7 +277,7 @@
         return iter(self._by_id.values())
 
     def holds(self, request: QueuedRequest) -> bool:
-        """Return whether this very queueing of a request still waits."""
+        """Return whether this queue entry, and not a later one of the same request, is queued."""
         return self._by_id.get(request.request_id) is request
 
     def classes(self, tier: int) -> list[RequestClass]:
@@ -286,7 +286,7 @@
         return [each.first().request_class for each in queues if each.count]
 
     def add(self, request: QueuedRequest) -> None:
-        """Queue a request; one that has begun goes ahead of its class."""
+        """Queue a request; one that has begun goes to the front of its class."""
         self._by_id[request.request_id] = request
         if request.tier not in self._queue_by_tier:
             self._queue_by_tier[request.tier] = _TierQueue()
@@ -294,14 +294,14 @@
         self._queue_by_tier[request.tier].add(request)
 
     def remove(self, request_id: str) -> QueuedRequest | None:
-        """Take a request out that will not get a slot from here."""
+        """Remove a request that does not get a slot, and return it, or None if it is not queued."""
         request = self._by_id.pop(request_id, None)
         if request is not None:
             self._queue_by_tier[request.tier].remove(request)
         return request
 
     def first(self) -> QueuedRequest | None:
-        """Return the request whose turn it is."""
+        """Return the request to serve next."""
         for tier in self._tiers:
             queue = self._queue_by_tier[tier]
             if queue.count:
@@ -309,54 +309,54 @@
         return None
 
     def take(self, request: QueuedRequest) -> None:
-        """Take a request out for a slot; its work counts against its class and account."""
+        """Remove a request that gets a slot, and charge its class and account for its work."""
         del self._by_id[request.request_id]
         self._queue_by_tier[request.tier].take(request)
 
     def count_through(self, tier: int) -> int:
-        """Return how many requests of this tier and more urgent ones wait."""
+        """Return the number of queued requests of this tier and more urgent ones."""
         return sum(self._queue_by_tier[each].count for each in self._tiers if each <= tier)
 
     def count_above(self, tier: int) -> int:
-        """Return how many requests more urgent than a tier wait."""
+        """Return the number of queued requests that are more urgent than a tier."""
         return self.count_through(tier - 1)
 
     def count_in(self, tier: int) -> int:
-        """Return how many requests of a tier wait."""
+        """Return the number of queued requests of a tier."""
         queue = self._queue_by_tier.get(tier)
         return 0 if queue is None else queue.count
 
     def work_through(self, tier: int) -> float:
-        """Return the expected tokens of the requests of this tier and more urgent ones."""
+        """Return the expected tokens of queued requests of this tier and more urgent ones."""
         return sum(self._queue_by_tier[each].work for each in self._tiers if each <= tier)
 
     def count_ahead(self, request_class: RequestClass, account: str, weight: float) -> float:
-        """Return about how many requests are served before a new one of an account.
+        """Estimate how many requests are served before a new one of an account.
 
-        A flow gets its share whatever others have queued, so an account that floods its class
-        lengthens its own wait rather than that of the others.
+        A flow gets its share regardless of the length of other flows. An account that floods its
+        class therefore increases its own wait and not that of others.
         """
-        urgent = self.count_above(request_class.tier)
+        more_urgent = self.count_above(request_class.tier)
         tier_queue = self._queue_by_tier.get(request_class.tier)
         if tier_queue is None or not tier_queue.count:
-            return urgent
+            return more_urgent
         queue = tier_queue.queue_by_class.get(request_class.name)
-        in_class = 0.0 if queue is None else _ahead_in_class(queue, account, weight)
+        in_class = 0.0 if queue is None else _count_ahead_in_class(queue, account, weight)
         class_ratio = tier_queue.share.share_ratio(request_class.name, request_class.weight)
-        return urgent + min(tier_queue.count, (in_class + 0.5) * class_ratio)
+        return more_urgent + min(tier_queue.count, (in_class + 0.5) * class_ratio)
 
     def in_service_order(self, tier: int) -> Iterator[QueuedRequest]:
-        """Yield the requests of a tier as they get slots if no other one comes."""
+        """Yield the requests of a tier in service order, assuming no further arrivals."""
         return self._queue_by_tier[tier].in_service_order()
 
     @property
     def tiers(self) -> tuple[int, ...]:
-        """Tiers with queued requests, the most urgent first."""
+        """Tiers with queued requests, most urgent first."""
         return tuple(each for each in self._tiers if self._queue_by_tier[each].count)
 
 
-def _ahead_in_class(queue: _ClassQueue, account: str, weight: float) -> float:
+def _count_ahead_in_class(queue: _ClassQueue, account: str, weight: float) -> float:
     flow = queue.flow_by_account.get(account)
-    place = 0 if flow is None else len(flow)
+    position = 0 if flow is None else len(flow)
     ratio = queue.share.share_ratio(account, weight)
-    return min(queue.count, len(queue.begun_by_id) + (place + 0.5) * ratio)
+    return min(queue.count, len(queue.begun_by_id) + (position + 0.5) * ratio)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/membership.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/membership.py
@@ -1,9 +1,9 @@
-"""Which agents an entry should know, and which of them take new work.
+"""Tracks the agents of an entry and which of them accept new work.
 
-The platform's list lags: it says which addresses to dial and takes new work away. The connection
-decides the rest: an agent serves only while it is connected, and its id (name and incarnation)
-comes from its first message, so a replaced agent at the same address is never taken for the old
-one.
+The platform's list, which may lag, provides the addresses to connect to and can exclude agents from
+new work. The rest depends on the connection. An agent serves only while it is connected. Its id
+(name and incarnation) comes from its first message, so a replacement at the same address is never
+mistaken for the old agent.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     from collections.abc import Iterable
 
 GONE_LIMIT = 1000
-"""Most ids of agents that are gone which are remembered."""
+"""Maximum number of remembered ids of agents that are gone."""
 
 
 class MemberState(StrEnum):
-    """States of the chart `membership`."""
+    """States of the `membership` chart."""
 
     JOINING = "joining"
     SERVING = "serving"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedAgent:
-    """An agent as the platform's list names it."""
+    """An agent in the platform's list."""
 
     name: str
     address: str
@@ -51,16 +51,16 @@
 
 @dataclass(slots=True)
 class _Member:
-    """An agent that was connected."""
+    """An agent that has connected at least once."""
 
     agent_id: str
     address: str
     state: MemberState
-    leaves_by_own_word: bool = False
+    announced_leaving: bool = False
 
 
 class Membership:
-    """The agents that one entry knows; it does no input or output."""
+    """The agents known to one entry, without I/O."""
 
     def __init__(self) -> None:
         self._chart = load_chart("membership")
@@ -70,10 +70,10 @@
 
     @property
     def addresses(self) -> frozenset[str]:
-        """Return the addresses to keep a connection to.
+        """Return the addresses to stay connected to.
 
-        An agent that left the list keeps its connection until that ends: the list can be wrong,
-        and an answer that still comes is not cut for it.
+        An agent that is removed from the list keeps its open connection. The list can be wrong, and
+        running answers must not be cut off because of it.
         """
         known = (
             member.address
@@ -83,7 +83,7 @@
         return frozenset((*self._listed_by_address, *known))
 
     def state_of(self, agent_id: str) -> MemberState:
-        """Return the state of an agent; one that is not known is joining."""
+        """Return the state of an agent; an unknown agent is joining."""
         if agent_id in self._gone_ids:
             return MemberState.GONE
         for member in self._members_by_address.values():
@@ -96,18 +96,18 @@
         return self.state_of(agent_id) is MemberState.SERVING
 
     def set_list(self, listed: Iterable[ListedAgent]) -> tuple[StateChange, ...]:
-        """Take in a newer list."""
+        """Apply a newer list of agents."""
         self._listed_by_address = {each.address: each for each in listed}
-        return self._review(tuple(self._members_by_address.values()))
+        return self._reconcile(tuple(self._members_by_address.values()))
 
     def connected(self, address: str, agent_id: str) -> tuple[StateChange, ...]:
-        """Take in which agent answered at an address."""
+        """Handle a new connection with the agent's id from its first message."""
         changes: list[StateChange] = []
         present = self._members_by_address.get(address)
         if present is not None and present.agent_id != agent_id:
-            # The VM was replaced and its successor got the same address. What ran at the old one
-            # is lost; shown as the same agent, its streams would be attached to a stranger.
-            changes.append(self._bury(present, final=True))
+            # The VM was replaced and the new one has the same address. The streams of the old agent
+            # are lost and must not be attached to the new agent.
+            changes.append(self._remove(present, final=True))
         if agent_id in self._gone_ids:
             return tuple(changes)
         member = self._members_by_address.get(address)
@@ -115,29 +115,29 @@
             member = _Member(agent_id, address, MemberState(self._chart.initial))
             self._members_by_address[address] = member
         changes.extend(self._fire(member, "connect"))
-        return tuple(changes) + self._review((member,))
+        return tuple(changes) + self._reconcile((member,))
 
     def disconnected(self, address: str) -> tuple[StateChange, ...]:
-        """Take in that the connection to an address was lost."""
+        """Handle the loss of the connection to an address."""
         member = self._members_by_address.get(address)
         if member is None:
             return ()
         return self._fire(member, "disconnect")
 
     def said_leaving(self, agent_id: str) -> tuple[StateChange, ...]:
-        """Take in an agent's own word that it leaves; it is not taken back."""
+        """Handle an agent's announcement that it is leaving, which is final."""
         for member in self._members_by_address.values():
             if member.agent_id == agent_id:
-                member.leaves_by_own_word = True
-                return self._review((member,))
+                member.announced_leaving = True
+                return self._reconcile((member,))
         return ()
 
-    def _review(self, members: tuple[_Member, ...]) -> tuple[StateChange, ...]:
-        """Fire what the words on leaving ask for."""
+    def _reconcile(self, members: tuple[_Member, ...]) -> tuple[StateChange, ...]:
+        """Apply the transitions that follow from the list and the leaving announcements."""
         changes: list[StateChange] = []
         for member in members:
             listed = self._listed_by_address.get(member.address)
-            leaves = member.leaves_by_own_word or listed is None or listed.leaving
+            leaves = member.announced_leaving or listed is None or listed.leaving
             if leaves and member.state is MemberState.SERVING:
                 changes.extend(self._fire(member, "leave"))
             elif not leaves and member.state is MemberState.DRAINING:
@@ -151,14 +151,15 @@
             return ()
         member.state = MemberState(self._chart.next(member.state, trigger))
         if member.state is MemberState.GONE:
-            return (self._bury(member, final=member.leaves_by_own_word),)
+            return (self._remove(member, final=member.announced_leaving),)
         return (StateChange(member.agent_id, member.address, member.state),)
 
-    def _bury(self, member: _Member, final: bool) -> StateChange:
-        """Forget an agent.
+    def _remove(self, member: _Member, final: bool) -> StateChange:
+        """Remove an agent.
 
-        One that was only taken off the list may come back with its id, since an entry's share of
-        the agents changes; one that said that it leaves, or was replaced, does not.
+        An agent that was only removed from the list may return with the same id, since an entry's
+        subset of agents changes. With `final`, the agent announced that it is leaving or was
+        replaced, and its id stays gone.
         """
         del self._members_by_address[member.address]
         if final:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/order_claims.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/order_claims.py
@@ -1,9 +1,9 @@
-"""Claims of idempotency keys: whose order may be sent, and what a repeat of a key is told.
+"""Claims of idempotency keys: which submission may send an order, and the result for a repeat.
 
-The stream of claims holds batches of claims and outcomes. The first claim of a key in log order
-wins, so every reader comes to the same verdict without a conditional append. Keys are scoped by
-client account. A winner that certainly did not and will not send its order may release the key;
-nothing else ever makes room for a second run.
+The claim stream consists of batches of claims and outcomes. The first claim of a key in log order
+wins, so every reader reaches the same verdict without a conditional append. Keys are scoped by
+client account. The winner may release the key only if it has not sent its order and never will.
+Nothing else allows a second run.
 """
 
 from __future__ import annotations
@@ -31,19 +31,20 @@
     from datetime import datetime
 
 DEFAULT_WINDOW = timedelta(hours=6)
-"""How long a key is remembered for certain; it must be shorter than the log's retention."""
+"""Guaranteed lifetime of a key; it must be shorter than the log's retention."""
 
 DEFAULT_CLOCK_SKEW = timedelta(minutes=5)
-"""How far wall clocks may be apart."""
+"""Maximum assumed difference between wall clocks."""
 
 DEFAULT_KEY_LIMIT = 500_000
-"""Most keys held in memory; further claims are refused until older ones run out of the log."""
+"""Maximum number of keys in memory; further claims are refused until older ones expire from the
+log."""
 
 ANSWER_LIMIT_BYTES = 8_192
-"""Longest answer of a backend server that is recorded with its outcome."""
+"""Maximum length of a backend server's answer that is recorded with its outcome."""
 
 FULL_RETRY_AFTER = timedelta(minutes=1)
-"""When to come back while too many keys are held."""
+"""Retry delay returned while the key limit is reached."""
 
 
 class OrderKey(msgspec.Struct, frozen=True, array_like=True):
@@ -57,15 +58,15 @@
     """One submission's claim of a key."""
 
     claim_id: str
-    """Unique for each submission; a claim that is appended again keeps it."""
+    """Unique per submission; a claim that is appended again keeps its id."""
     order_key: OrderKey
     body_digest: bytes
     order_time: float = 0.0
-    """When the caller says the order was made, in seconds since the epoch; 0 where it does not."""
+    """Caller's time of the order in seconds since the epoch, or 0 if the caller gave none."""
 
 
 class Settlement(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a claim ended, written by its holder.
+    """The outcome of a claim, written by its holder.
 
     The kind `not_run` releases the key: the holder did not send the order and never will.
     """
@@ -75,53 +76,53 @@
     kind: OutcomeKind
     reason: str = ""
     status: int = 0
-    """HTTP status of the backend server's answer; 0 where there was none."""
+    """HTTP status of the backend server's answer, or 0 without an answer."""
     answer: bytes = b""
-    """The backend server's answer, where it is short enough."""
+    """The backend server's answer if it is short enough to be recorded."""
     is_whole: bool = True
-    """Whether the answer is here; False where it was too long."""
+    """Whether the answer is included; False if it was too long."""
     content_type: str = ""
 
 
 class ClaimBatch(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One record of the stream."""
+    """One record of the claim stream."""
 
     holder: str
-    """Agent, with its incarnation, that made the claims."""
+    """Name and incarnation of the agent that made the claims."""
     written_at: float
-    """Wall time of the holder in seconds since the epoch."""
+    """Wall-clock time of the holder in seconds since the epoch."""
     claims: tuple[Claim, ...] = ()
     settlements: tuple[Settlement, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """What is recorded of an order that ran."""
+    """The recorded result of an order that ran."""
 
     outcome: Outcome
     status: int = 0
-    """0 where there is no answer to give again."""
+    """0 if there is no answer to replay."""
     answer: bytes = b""
     is_whole: bool = True
-    """Whether the answer is here; False where it was too long to be recorded."""
+    """Whether the answer is included; False if it was too long to be recorded."""
     content_type: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """The winner of a key."""
+    """The winning claim of a key."""
 
     claim_id: str
     holder: str
     body_digest: bytes
     offset: int
     recorded: RecordedAnswer | None = None
-    """None until an outcome was recorded."""
+    """None until an outcome is recorded."""
 
 
 @dataclass(frozen=True, slots=True)
 class Won:
-    """The claim is the first of its key; its holder, and nobody else, may send the order."""
+    """The claim is the first of its key; only its holder may send the order."""
 
     claim_id: str
     order_key: OrderKey
@@ -129,14 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AlreadyClaimed:
-    """Another claim of the key came first and no outcome of it is recorded yet."""
+    """Another claim of the key came first, and its outcome is not recorded yet."""
 
     first_claim_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadySettled:
-    """The order ran already; this is its first outcome."""
+    """The order has already run; contains its first recorded outcome."""
 
     recorded: RecordedAnswer
 
@@ -152,12 +153,12 @@
 
 
 def encode_batch(batch: ClaimBatch) -> bytes:
-    """Return the payload of a batch."""
+    """Encode a batch as a record payload."""
     return msgspec.msgpack.encode(batch)
 
 
 def decode_batch(payload: bytes) -> ClaimBatch | None:
-    """Return the batch of a payload, None if it is not one."""
+    """Decode a record payload, or return None if it is not a valid batch."""
     try:
         return _decoder.decode(payload)
     except msgspec.MsgspecError:
@@ -172,14 +173,14 @@
     answer: bytes = b"",
     content_type: str = "",
 ) -> Settlement:
-    """Return the settlement that records an outcome.
+    """Create the settlement that records an outcome.
 
     Args:
         claim_id: The winning claim.
         order_key: The key it holds.
-        outcome: How the order ended.
-        status: The backend server's status.
-        answer: The backend server's answer; left out where it is too long.
+        outcome: The outcome of the order.
+        status: The HTTP status of the backend server's answer.
+        answer: The backend server's answer; omitted from the settlement if it is too long.
         content_type: The answer's content type.
     """
     if isinstance(outcome, Completed):
@@ -189,7 +190,7 @@
     settlement = Settlement(claim_id, order_key, outcome.kind, str(outcome.reason))
     if isinstance(outcome, Failed):
         return _with_answer(settlement, status, answer, content_type)
-    # What came of an answer before its outcome became unknown would look like a whole one.
+    # A partial answer of an unknown outcome is omitted, as it would look like a complete one.
     return settlement
 
 
@@ -207,7 +208,7 @@
 
 
 def recorded_answer(settlement: Settlement) -> RecordedAnswer:
-    """Return what a settlement records."""
+    """Return the recorded answer of a settlement."""
     return RecordedAnswer(
         _outcome_of(settlement),
         settlement.status,
@@ -230,7 +231,7 @@
 
 
 class OrderLedger:
-    """The fold of the stream of claims; bounded by the log's retention and a limit on keys."""
+    """Folds the claim stream; its size is bounded by the log's retention and a key limit."""
 
     def __init__(
         self,
@@ -254,14 +255,14 @@
         return self._position
 
     def get(self, order_key: OrderKey) -> KeyRecord | None:
-        """Return the winner of a key."""
+        """Return the winning claim of a key, or None."""
         return self._records_by_key.get(order_key)
 
     def apply(self, offset: int, payload: bytes) -> ClaimBatch | None:
-        """Fold the record at an offset; an offset seen before is passed over.
+        """Fold the record at an offset; an offset before the current position is ignored.
 
         Returns:
-            The batch that was folded.
+            The folded batch, or None if the record was ignored or could not be decoded.
         """
         if offset < self._position:
             return None
@@ -270,15 +271,15 @@
         if batch is None:
             return None
         self._newest_written_at = max(self._newest_written_at, batch.written_at)
-        # A release comes before a new claim of its key, which may stand in the same batch.
+        # Settlements are applied first: a batch may release a key and claim it again.
         for settlement in batch.settlements:
-            self._take_settlement(settlement)
+            self._apply_settlement(settlement)
         for claim in batch.claims:
-            self._take_claim(claim, batch.holder, offset)
+            self._apply_claim(claim, batch.holder, offset)
         return batch
 
     def forget_before(self, first_offset: int) -> None:
-        """Forget the keys whose claims ran out of the log."""
+        """Remove the keys whose claims have expired from the log."""
         while self._records_by_key:
             oldest = next(iter(self._records_by_key.values()))
             if oldest.offset >= first_offset:
@@ -287,22 +288,23 @@
         self._position = max(self._position, first_offset)
 
     def admit(self, order_time: float, now: datetime) -> NotRun | None:
-        """Return why a new claim may not be made, None if it may.
+        """Return why a new claim is refused, or None if it is allowed.
 
-        A key whose first claim ran out of the log would look new. The order's own time tells it: it
-        is older than the window, which is shorter than the retention. A time in the future is
-        refused too, since it would still be in the window when the claim has run out.
+        A key whose first claim has expired from the log would look new. Its order time shows that
+        it is not, because it is older than the window, which is shorter than the retention. A time
+        in the future is refused too: it would still be in the window after the claim has expired.
 
         Args:
-            order_time: When the caller says the order was made; 0 where it does not.
-            now: The wall time.
+            order_time: Caller's time of the order, or 0 if the caller gave none.
+            now: The current wall-clock time.
         """
         if len(self._records_by_key) >= self._key_limit:
             return NotRun(NotRunReason.OVERLOADED, FULL_RETRY_AFTER)
         if not order_time:
             return None
-        # A clock that is behind would take an old key for a young one and run it again. The newest
-        # time in the log, from all holders, shows it; a clock ahead only refuses too much.
+        # With a clock that is behind, an old key would look recent and its order would run again.
+        # The newest time that any holder wrote to the log guards against that. A clock that is
+        # ahead only causes too many refusals.
         seconds_now = max(now.timestamp(), self._newest_written_at)
         if order_time < seconds_now - self._window.total_seconds():
             return NotRun(NotRunReason.KEY_OUT_OF_WINDOW)
@@ -311,7 +313,7 @@
         return None
 
     def judge(self, claim: Claim) -> ClaimVerdict | None:
-        """Return the verdict on a claim, None while its key is not in the log."""
+        """Return the verdict on a claim, or None if its key is not claimed in the log."""
         record = self._records_by_key.get(claim.order_key)
         if record is None:
             return None
@@ -323,12 +325,12 @@
             return AlreadySettled(record.recorded)
         return AlreadyClaimed(record.claim_id)
 
-    def _take_claim(self, claim: Claim, holder: str, offset: int) -> None:
+    def _apply_claim(self, claim: Claim, holder: str, offset: int) -> None:
         if claim.order_key not in self._records_by_key:
             record = KeyRecord(claim.claim_id, holder, claim.body_digest, offset)
             self._records_by_key[claim.order_key] = record
 
-    def _take_settlement(self, settlement: Settlement) -> None:
+    def _apply_settlement(self, settlement: Settlement) -> None:
         record = self._records_by_key.get(settlement.order_key)
         if record is None or record.claim_id != settlement.claim_id or record.recorded is not None:
             return
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/outcomes.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/outcomes.py
@@ -1,4 +1,4 @@
-"""The one typed outcome in which every request ends, and the reasons an outcome may carry."""
+"""Typed outcomes of requests and their reason codes; every request has exactly one outcome."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from enum import StrEnum
 
 OUTCOME_HEADER = "x-ragwortwing-outcome"
-"""Response header with the outcome's kind."""
+"""Response header that contains the outcome's kind."""
 
 REASON_HEADER = "x-ragwortwing-reason"
-"""Response header with the outcome's reason code."""
+"""Response header that contains the outcome's reason code."""
 
 
 class OutcomeKind(StrEnum):
-    """The four ways in which a request may end."""
+    """The kinds of outcomes."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -23,45 +23,45 @@
 
 
 class NotRunReason(StrEnum):
-    """Why a request was given up without any of it reaching a backend server."""
+    """Why a request ended before any part of it reached a backend server."""
 
     OVERLOADED = "overloaded"
-    """The predicted wait passes the class's first-token target."""
+    """The predicted wait exceeds the class's first-token target."""
     DEADLINE = "deadline"
     """The deadline passed while the request was queued."""
     NO_BACKEND = "no_backend"
     """No live backend server serves the model or the service."""
     RATE_LIMITED = "rate_limited"
-    """The client account is over its request rate."""
+    """The client account exceeded its request rate."""
     CONCURRENCY_LIMITED = "concurrency_limited"
     """The client account has too many requests in flight."""
     DRAINING = "draining"
-    """The VM is leaving and takes no new work."""
+    """The VM is leaving and accepts no new work."""
     SHED_BY_PRESET = "shed_by_preset"
     """The preset in force does not admit the class."""
     LOG_UNAVAILABLE = "log_unavailable"
-    """An order could not be claimed on the platform's log."""
+    """An order could not be claimed because the platform's log is unavailable."""
     KEY_OUT_OF_WINDOW = "key_out_of_window"
     """The idempotency key is older than the log's retention."""
     KEY_REUSED = "key_reused"
-    """The idempotency key was used with a different body."""
+    """The idempotency key was already used with a different body."""
     IN_PROGRESS = "in_progress"
-    """Another submission of the same idempotency key is being run; this one was not."""
+    """Another submission of the same idempotency key is running; this one was not run."""
     WITHDRAWN = "withdrawn"
-    """The caller went away first."""
+    """The caller disconnected before the request was sent."""
     UNCONFIGURED = "unconfigured"
     """The process has no configuration yet."""
 
 
 class UnknownReason(StrEnum):
-    """Why it cannot be said whether a request ran."""
+    """Why it is unknown whether a request ran."""
 
     BACKEND_LOST = "backend_lost"
     """The backend server or its agent was lost after the request was sent."""
     TIMEOUT = "timeout"
-    """No final answer came before the deadline after the request was sent."""
+    """The request was sent, but no final answer arrived before the deadline."""
     NO_RECORDED_OUTCOME = "no_recorded_outcome"
-    """The idempotency key was claimed earlier and no outcome of it is recorded."""
+    """The idempotency key was claimed earlier, but no outcome is recorded."""
 
 
 class FailedReason(StrEnum):
@@ -70,21 +70,21 @@
     BACKEND_ERROR = "backend_error"
     """The backend server answered with an error."""
     BACKEND_LOST = "backend_lost"
-    """The backend server was lost in mid-stream and the answer could not be resumed."""
+    """The backend server was lost mid-stream and the answer could not be resumed."""
     STOPPED = "stopped"
-    """A forced stop of the process cut the request."""
+    """The request was aborted by a forced stop of the process."""
     DEADLINE = "deadline"
-    """The request ran into its deadline."""
+    """The deadline passed while the request was running."""
     CALLER_GONE = "caller_gone"
-    """The caller went away while its answer was running."""
+    """The caller disconnected while its answer was running."""
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The whole answer was delivered."""
+    """The complete answer was delivered."""
 
     tokens: int = 0
-    """Generated tokens delivered."""
+    """Number of generated tokens that were delivered."""
 
     kind = OutcomeKind.COMPLETED
 
@@ -95,14 +95,14 @@
 
     reason: NotRunReason
     retry_after: timedelta | None = None
-    """When it is worth asking again; None where asking again cannot help."""
+    """Suggested retry delay, or None if a retry cannot succeed."""
 
     kind = OutcomeKind.NOT_RUN
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may or may not have run; it must not be taken as not run."""
+    """The request may or may not have run; it must not be treated as not run."""
 
     reason: UnknownReason
 
@@ -111,11 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ran, wholly or in part, and did not complete."""
+    """The request ran at least partly and did not complete."""
 
     reason: FailedReason
     status: int | None = None
-    """The backend server's own HTTP status, where it gave one."""
+    """HTTP status returned by the backend server, if any."""
 
     kind = OutcomeKind.FAILED
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/preemption.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/preemption.py
@@ -1,4 +1,4 @@
-"""Which running requests give their slots to more urgent ones, and when."""
+"""Preemption: decides which running requests give up their slots to more urgent ones, and when."""
 
 from __future__ import annotations
 
@@ -14,80 +14,82 @@
     from .running_requests import RunningRequest
 
 PREEMPTION_SECONDS = 0.3
-"""Time that a preemption takes at most: two ticks, and the engine letting go of the stream."""
+"""Maximum duration of a preemption: two ticks plus the time the engine needs to end the stream."""
 
-PREEMPT_ABOVE = 0.25
-"""Share of the time left to the first-token target that the predicted wait may take up."""
+PREEMPTION_SLACK_SHARE = 0.25
+"""Share of the slack to the first-token target above which a predicted wait causes preemption."""
 
 
 class Preemption:
-    """Preempts as late as it can: when a wait is predicted too long, or time has run short.
+    """Preempts as late as possible: when a predicted wait is too long or time is running out.
 
-    A request is pressing when the predicted wait without preemption takes up too much of its time;
-    it is overdue when waiting any longer costs it its target. A run that was promised real progress
-    is spared by pressing requests and gives way to overdue ones: its tokens are kept, while the
-    target of the more urgent request could not be had back.
+    A request is at risk if its predicted wait without preemption uses too much of its slack. It is
+    overdue if it would miss its target by waiting any longer. Protected runs are preempted only for
+    overdue requests. A preempted run keeps its tokens, while a missed target cannot be recovered.
     """
 
     def __init__(self, state: EngineState) -> None:
         self._state = state
         self._overdue_at = TimedRequests(state.queue)
-        self._pressing = MarkedRequests()
+        self._at_risk = MarkedRequests()
         self._overdue = MarkedRequests()
 
-    def queued(self, request: QueuedRequest, now: Instant) -> None:
-        """Take in a request that was queued."""
+    def on_queued(self, request: QueuedRequest, now: Instant) -> None:
+        """Track a request that was queued."""
         slack = self._state.slack(request, now)
         self._overdue_at.add(now + slack - PREEMPTION_SECONDS, request)
-        if self._wait_without_preemption(request, now) > PREEMPT_ABOVE * slack:
-            self._pressing.add(request)
+        if self._wait_without_preemption(request, now) > PREEMPTION_SLACK_SHARE * slack:
+            self._at_risk.add(request)
 
-    def left(self, request: QueuedRequest) -> None:
-        """Take in that a request left the queue."""
-        self._pressing.discard(request)
+    def on_left_queue(self, request: QueuedRequest) -> None:
+        """Stop tracking a request that left the queue."""
+        self._at_risk.discard(request)
         self._overdue.discard(request)
 
     def is_urgent_waiting(self, tier: int) -> bool:
         """Return whether a request more urgent than a tier may miss its target."""
-        marked = self._pressing.count_through(tier - 1) + self._overdue.count_through(tier - 1)
+        marked = self._at_risk.count_through(tier - 1) + self._overdue.count_through(tier - 1)
         return marked > 0
 
     def due(self, now: Instant) -> list[Preempt]:
-        """Return the preemptions that pressing and overdue requests need now."""
+        """Return the preemptions that at-risk and overdue requests need now."""
         for request in self._overdue_at.pop_due(now):
-            self._pressing.discard(request)
+            self._at_risk.discard(request)
             self._overdue.add(request)
         return [
-            *self._for_marked(self._overdue, spare_protected=False, now=now),
-            *self._for_marked(self._pressing, spare_protected=True, now=now),
+            *self._preempt_for_marked(self._overdue, spare_protected=False, now=now),
+            *self._preempt_for_marked(self._at_risk, spare_protected=True, now=now),
         ]
 
-    def for_refusal(self, tier: int, now: Instant) -> list[Preempt]:
-        """Return the preemptions that a refusal for overload in a tier calls for.
+    def preempt_for_refusal(self, tier: int, now: Instant) -> list[Preempt]:
+        """Return the preemptions that must accompany an overload refusal in a tier.
 
-        A request is refused only with every less urgent run giving way to those ahead of it.
+        A request may be refused only if less urgent runs are preempted for the requests ahead of
+        it.
         """
-        wanted = self._state.queue.count_through(tier) + 1 - self._state.slots.preempting()
-        return _preempt(self._state.slots.victims(tier, now, spare_protected=False)[:wanted])
+        missing = self._state.queue.count_through(tier) + 1 - self._state.slots.preempting()
+        return _mark_preempting(
+            self._state.slots.victims(tier, now, spare_protected=False)[:missing]
+        )
 
-    def above_limit(self, now: Instant) -> list[Preempt]:
-        """Return the preemptions that a limit which fell calls for."""
+    def preempt_above_limit(self, now: Instant) -> list[Preempt]:
+        """Return the preemptions needed after the concurrency limit decreased."""
         slots = self._state.slots
         excess = len(slots) - slots.preempting() - self._state.limit.value
         if excess <= 0 or not slots.running_by_id:
             return []
         most_urgent = min(each.tier for each in slots.running_by_id.values())
-        return _preempt(slots.victims(most_urgent, now, spare_protected=True)[:excess])
+        return _mark_preempting(slots.victims(most_urgent, now, spare_protected=True)[:excess])
 
-    def _for_marked(
+    def _preempt_for_marked(
         self, marked: MarkedRequests, spare_protected: bool, now: Instant
     ) -> list[Preempt]:
         preemptions: list[Preempt] = []
         slots = self._state.slots
         for tier in marked.tiers():
-            wanted = marked.count_through(tier) - slots.preempting()
-            if wanted > 0:
-                preemptions += _preempt(slots.victims(tier, now, spare_protected)[:wanted])
+            missing = marked.count_through(tier) - slots.preempting()
+            if missing > 0:
+                preemptions += _mark_preempting(slots.victims(tier, now, spare_protected)[:missing])
         return preemptions
 
     def _wait_without_preemption(self, request: QueuedRequest, now: Instant) -> float:
@@ -98,7 +100,7 @@
         return state.waits.wait(load, ahead, state.limit.value)
 
 
-def _preempt(victims: list[RunningRequest]) -> list[Preempt]:
+def _mark_preempting(victims: list[RunningRequest]) -> list[Preempt]:
     for victim in victims:
         victim.preempting = True
     return [Preempt(each.reservation.request_id) for each in victims]
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/reservations.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/reservations.py
@@ -1,7 +1,7 @@
-"""What an entry asks of an agent, and what the agent's scheduler decides.
+"""Reservations that entries request from agents, and the decisions of the agent's scheduler.
 
-A reservation is light: it carries no body. The agent grants it when a slot is free for it, and only
-then does the entry send the body. Until that moment the request has truly not run.
+A reservation is small because it does not contain the request's body. The entry sends the body only
+after the agent has granted a slot. Until then the request has certainly not run.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """A request that asks for a slot."""
+    """A request for a slot."""
 
     request_id: str
     request_class: str
     account: str
     model: str
-    """Model, or the name of the service for a plain call."""
+    """Name of the model or, for a call to a plain service, of the service."""
     deadline: Instant
-    """When the caller no longer waits, on this process's own monotonic clock."""
+    """When the caller stops waiting, on this process's monotonic clock."""
     prompt_tokens: int = 0
     expected_tokens: int = 0
-    """Expected answer length; 0 where nothing is known."""
+    """Expected answer length in tokens, or 0 if unknown."""
     prefix_hash: int = 0
-    """Hash of the prompt's prefix, for cache affinity; 0 for none."""
+    """Hash of the prompt's prefix for cache affinity, or 0 for none."""
     resumed_tokens: int = 0
-    """Tokens already delivered to the caller by an earlier run; a resumed request is mid-answer."""
+    """Tokens that an earlier run already delivered to the caller; 0 for a new request."""
     idempotent: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The slot is held for the request until it expires."""
+    """A slot is held for the request until the grant expires."""
 
     request_id: str
     expires_at: Instant
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request will not run here; it has not run."""
+    """The request has not run and will not run on this agent."""
 
     request_id: str
     reason: NotRunReason
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Preempt:
-    """A running request must give its slot to a more urgent one; it is resumed at its offset."""
+    """A running request must give up its slot; it will be resumed at its current offset."""
 
     request_id: str
 
@@ -70,12 +70,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An agent's own counts, sent with heartbeats and replies; they beat the engine's report."""
+    """An agent's load, sent with heartbeats and replies; preferred to the engine's own report."""
 
     running: int
     queued: int
     limit: int
-    """Concurrency limit learned for the engine."""
+    """Learned concurrency limit of the engine."""
     predicted_wait: timedelta
     """Predicted wait of a new request of the most urgent tier."""
     draining: bool = False
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/retries.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/retries.py
@@ -1,4 +1,4 @@
-"""What may be run a second time, and how often: rules and the entry's retry budget."""
+"""Retry rules and the retry budget of an entry."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from .routing import BackendKind
 
 MAXIMUM_RUNS = 3
-"""Times one request may be started on a backend server; a request that brings engines down would
-otherwise visit them all."""
+"""Maximum number of runs of one request. Without it, a request that crashes engines could crash all
+of them."""
 
 RESUME_WINDOW = timedelta(seconds=20)
-"""Time an interrupted answer may look for another engine when its first deadline is past."""
+"""Minimum time for an interrupted answer to find another engine, even after its deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """How many retries an entry allows itself."""
+    """Limits of an entry's retry budget."""
 
     share: float = 0.1
-    """Retries for each recent success."""
+    """Retries allowed per recent success."""
     floor: float = 3.0
-    """Retries within the window that need no successes, so that a quiet entry may retry too."""
+    """Retries allowed within the window without any successes, so that an idle entry can retry."""
     window: timedelta = timedelta(seconds=10)
-    """Time constant over which successes and retries are forgotten."""
+    """Time constant of the exponential decay of successes and retries."""
 
 
 class RetryBudget:
-    """Retries an entry may still make: a share of its recent successes.
+    """Limits an entry's retries to a share of its recent successes.
 
     Example:
         >>> budget = RetryBudget(RetrySettings(share=0.5, floor=0.0))
@@ -55,13 +55,13 @@
         self._successes += 1
 
     def available(self, now: Instant) -> float:
-        """Return the retries that may be made at this moment."""
+        """Return the number of retries that are currently allowed."""
         self._decay(now)
         settings = self._settings
         return settings.floor + settings.share * self._successes - self._retries
 
     def try_spend(self, now: Instant) -> bool:
-        """Take one retry from the budget; False where there is none."""
+        """Take one retry from the budget; return False if it is exhausted."""
         if self.available(now) < 1:
             return False
         self._retries += 1
@@ -77,15 +77,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Interruption:
-    """A run that ended without the whole answer."""
+    """A run that ended without a complete answer."""
 
     kind: BackendKind
     idempotent: bool
     runs: int
-    """Runs so far, this one among them."""
+    """Number of runs so far, including this one."""
     deadline: Instant
     bytes_delivered: bool
-    """Whether the caller already has some of the answer."""
+    """Whether part of the answer was already delivered to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,15 +95,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Ask other agents, and send the body with the text that the caller already has."""
+    """Ask other agents, and send the body with the text already delivered to the caller."""
 
     until: Instant
-    """When to give up looking."""
+    """When to stop looking for an agent."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Conclude with this outcome."""
+    """Conclude with the given outcome."""
 
     outcome: Outcome
 
@@ -111,38 +111,38 @@
 def decide_after_loss(
     interruption: Interruption, budget: RetryBudget, now: Instant
 ) -> RunAgain | Resume | GiveUp:
-    """Decide what follows when a request's agent or backend server was lost after the submit.
+    """Decide how to continue after an agent or backend server was lost with a submitted request.
 
-    A call that is not idempotent is never repeated. A model's answer that has begun is resumed; it
-    repeats no output, so it is bounded by its own count of runs and not charged to the budget.
+    A call that is not idempotent is never repeated. A model's answer that has begun is resumed. A
+    resume repeats no output, so it is limited by the run count and not charged to the budget.
     """
     if not interruption.idempotent:
         return GiveUp(Unknown(UnknownReason.BACKEND_LOST))
     if interruption.bytes_delivered:
         return _decide_resume(interruption, now)
-    lost = GiveUp(Unknown(UnknownReason.BACKEND_LOST))
+    give_up = GiveUp(Unknown(UnknownReason.BACKEND_LOST))
     if interruption.runs >= MAXIMUM_RUNS or now >= interruption.deadline:
-        return lost
-    return RunAgain() if budget.try_spend(now) else lost
+        return give_up
+    return RunAgain() if budget.try_spend(now) else give_up
 
 
 def decide_after_outcome(
     outcome: Outcome, interruption: Interruption, budget: RetryBudget, now: Instant
 ) -> RunAgain | Resume | GiveUp:
-    """Decide what follows when an agent reported a final outcome of a submitted request.
+    """Decide how to continue after an agent reported the final outcome of a submitted request.
 
-    The agent itself repeats nothing, so that a request is not retried at two levels. `NotRun` is
-    the agent's word that the request did not start: it may be asked for elsewhere.
+    Agents never retry, so that a request is not retried at two levels. With `NotRun` the agent
+    guarantees that the request did not start, so other agents may be asked.
     """
     if isinstance(outcome, NotRun):
         return RunAgain() if now < interruption.deadline else GiveUp(outcome)
-    if isinstance(outcome, Unknown) or _lost_in_stream(outcome):
+    if isinstance(outcome, Unknown) or _is_lost_mid_stream(outcome):
         decision = decide_after_loss(interruption, budget, now)
         return GiveUp(outcome) if isinstance(decision, GiveUp) else decision
     return GiveUp(outcome)
 
 
-def _lost_in_stream(outcome: Outcome) -> bool:
+def _is_lost_mid_stream(outcome: Outcome) -> bool:
     return isinstance(outcome, Failed) and outcome.reason is FailedReason.BACKEND_LOST
 
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/routing.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/routing.py
@@ -1,4 +1,4 @@
-"""The entry's routing: which agents are asked for a slot for a request."""
+"""Routing of an entry: selects the agents that are asked for a slot for a request."""
 
 from __future__ import annotations
 
@@ -20,35 +20,36 @@
     from .clock import Instant
 
 DEFAULT_FANOUT = 2
-"""Agents asked for a slot for one request."""
+"""Number of agents initially asked for a slot for one request."""
 
 NO_BACKEND_RETRY_AFTER = timedelta(seconds=2)
-"""When to come back while no backend server serves the model."""
+"""Retry delay returned while no backend server serves the model."""
 
 HEAD_START = timedelta(milliseconds=10)
-"""Time that the preferred agent, if it should have a free slot, is asked before the others."""
+"""Time before the other agents are asked if the preferred agent is expected to have a free slot."""
 
 LOAD_BOUND = 1.25
-"""Multiple of the pool's mean load above which an agent no longer gets a prefix by affinity."""
+"""Multiple of the pool's mean load above which an agent gets no requests by prefix affinity."""
 
-UNBOUNDED_LOAD = 0.5
-"""Share of an agent's limit below which affinity never spills."""
+ALWAYS_AFFINE_UTILIZATION = 0.5
+"""Utilization below which an agent always gets requests by prefix affinity."""
 
-SAMPLE_FACTOR = 2
-"""Agents compared by load for each one asked."""
+SAMPLES_PER_AGENT = 2
+"""Number of agents sampled and compared by load per agent asked."""
 
-WAIT_STEP = timedelta(milliseconds=50)
-"""Predicted waits closer than this are a near tie."""
+WAIT_GRANULARITY = timedelta(milliseconds=50)
+"""Granularity at which predicted waits are compared; smaller differences count as a tie."""
 
-PROMPT_WAIT = timedelta(milliseconds=250)
-"""Predicted wait up to which an agent counts as free for the most urgent tier."""
+LOW_WAIT = timedelta(milliseconds=250)
+"""Maximum predicted wait of an agent that is expected to have a slot for the most urgent tier."""
 
 LOAD_STEPS = 8
-"""Loads within this part of an agent's limit are a near tie."""
+"""Number of steps into which an agent's limit is divided to compare loads; loads within one step
+count as a tie."""
 
 
 class BackendKind(StrEnum):
-    """What stands beside an agent."""
+    """Kind of backend server that an agent manages."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -56,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentView:
-    """What an entry knows of an agent."""
+    """An entry's view of an agent."""
 
     agent_id: str
-    """Name and incarnation; a replaced agent at the same address has another id."""
+    """Name and incarnation; a replacement at the same address has a different id."""
     zone: str
     kind: BackendKind
     targets: frozenset[str]
-    """Models, or services, that the backend server serves."""
+    """Models or services that the backend server provides."""
     connected: bool = True
     leaving: bool = False
     load: LoadReport = field(default_factory=lambda: LoadReport(0, 0, 1, timedelta(0)))
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteQuery:
-    """A request that looks for agents."""
+    """Routing-related properties of a request."""
 
     request_id: str
     target: str
@@ -80,9 +81,9 @@
     prefix_hash: int = 0
     tier: int = 0
     excluded: frozenset[str] = frozenset()
-    """Agents that were tried already."""
+    """Agents that must not be chosen, because they were already tried."""
     idempotent: bool = True
-    """Whether the call may be repeated; one that may not is no probe of an ejected agent."""
+    """Whether the call may be repeated. Other calls are not used to probe an ejected agent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,31 +92,31 @@
 
     agent_ids: tuple[str, ...]
     head_start: timedelta = timedelta(0)
-    """Time to wait for the first one's grant before the others are asked."""
+    """Time to wait for a grant of the first agent before the others are asked."""
 
 
 @dataclass(slots=True)
-class _Known:
-    """An agent and what this entry sent it since its last report."""
+class _TrackedAgent:
+    """An agent and the number of requests sent to it since its last report."""
 
     view: AgentView
     submitted: int = 0
 
     @property
-    def utilisation(self) -> float:
+    def utilization(self) -> float:
         load = self.view.load
         return (load.running + load.queued + self.submitted) / max(1, load.limit)
 
     @property
     def has_free_slot(self) -> bool:
-        return self.utilisation < 1
+        return self.utilization < 1
 
 
 class Router:
-    """Chooses agents; it does no input or output.
+    """Chooses agents, without I/O.
 
-    It holds the agents of this entry's subset only, indexed by what they serve, so that a choice
-    costs time in the size of one pool of the subset and not of the fleet.
+    The router only holds the agents of this entry's subset, indexed by the models and services they
+    serve. The cost of a choice depends on the size of one pool of the subset and not on the fleet.
     """
 
     def __init__(
@@ -129,16 +130,16 @@
         self._random = random
         self._fanout = fanout
         self._detector = detector or OutlierDetector()
-        self._agents_by_id: dict[str, _Known] = {}
+        self._agents_by_id: dict[str, _TrackedAgent] = {}
         self._ids_by_target: dict[tuple[BackendKind, str], dict[str, None]] = {}
 
     def update(self, agent: AgentView, now: Instant) -> None:
-        """Take in an agent's newest state."""
+        """Add an agent or update its state."""
         known = self._agents_by_id.get(agent.agent_id)
         if known is None or known.view.targets != agent.targets:
             self.remove(agent.agent_id, now) if known else None
             self._index(agent)
-            self._agents_by_id[agent.agent_id] = _Known(agent)
+            self._agents_by_id[agent.agent_id] = _TrackedAgent(agent)
             self._detector.add(agent.agent_id)
             return
         if agent.load is not known.view.load:
@@ -146,7 +147,7 @@
         known.view = agent
 
     def remove(self, agent_id: str, now: Instant) -> None:
-        """Forget an agent that is gone."""
+        """Remove an agent that is gone."""
         known = self._agents_by_id.pop(agent_id, None)
         if known is None:
             return
@@ -155,14 +156,14 @@
         self._detector.remove(agent_id)
 
     def submitted(self, agent_id: str, now: Instant) -> None:
-        """Count a body sent to an agent."""
+        """Count a request body that was sent to an agent."""
         known = self._agents_by_id.get(agent_id)
         if known is not None:
             known.submitted += 1
             self._detector.submitted(agent_id, now)
 
     def progressed(self, agent_id: str, now: Instant) -> None:
-        """Note that an agent gave a piece of an answer."""
+        """Record that an agent delivered a chunk of an answer."""
         self._detector.progressed(agent_id, now)
 
     def released(self, agent_id: str, now: Instant) -> None:
@@ -176,12 +177,12 @@
         between_tokens: timedelta | None,
         now: Instant,
     ) -> None:
-        """Record the latency that a request saw at an agent, for ejection."""
+        """Record the latency that a request observed at an agent, for ejection."""
         peers = self._peers(agent_id)
         self._detector.observe(agent_id, first_token, between_tokens, peers, now)
 
     def is_ejected(self, agent_id: str, now: Instant) -> bool:
-        """Return whether an agent is slow or silent, so that no request should stay there."""
+        """Return whether an agent is ejected for being slow or silent."""
         return self._detector.is_ejected(agent_id, self._peers(agent_id), now)
 
     def candidates(self, query: RouteQuery, now: Instant) -> tuple[str, ...] | NotRun:
@@ -190,14 +191,14 @@
         return choice if isinstance(choice, NotRun) else choice.agent_ids
 
     def choose(self, query: RouteQuery, now: Instant, count: int | None = None) -> Choice | NotRun:
-        """Return up to `count` agents to ask and how much sooner to ask the first."""
+        """Return up to `count` agents to ask and the head start of the first one."""
         eligible = self._eligible(query)
         if not eligible:
             return NotRun(NotRunReason.NO_BACKEND, NO_BACKEND_RETRY_AFTER)
         count = count or self._fanout
         closed, half_open = self._split_by_circuit(eligible, query, now)
         probe = self._choose_probe(half_open, query, now)
-        # With every circuit open or half open there is nobody better: the ejected are asked.
+        # Without a closed circuit there is no better choice than the ejected agents.
         usable = closed or eligible
         ranked = self._rank(usable, query, count)
         if probe is not None:
@@ -206,11 +207,11 @@
         return Choice(tuple(each.view.agent_id for each in ranked[:count]), head_start)
 
     def prompt_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
-        """Return up to `count` agents that should give the most urgent tier a slot at once."""
+        """Return up to `count` agents that are expected to have a slot for the most urgent tier."""
         closed, _ = self._split_by_circuit(self._eligible(query), query, now)
-        prompt = [each for each in closed if each.view.load.predicted_wait <= PROMPT_WAIT]
-        prompt.sort(key=self._load_key)
-        return tuple(each.view.agent_id for each in prompt[:count])
+        low_wait = [each for each in closed if each.view.load.predicted_wait <= LOW_WAIT]
+        low_wait.sort(key=self._load_key)
+        return tuple(each.view.agent_id for each in low_wait[:count])
 
     def _index(self, agent: AgentView) -> None:
         for target in agent.targets:
@@ -225,17 +226,17 @@
             peers.update(self._ids_by_target[known.view.kind, target])
         return peers
 
-    def _eligible(self, query: RouteQuery) -> list[_Known]:
+    def _eligible(self, query: RouteQuery) -> list[_TrackedAgent]:
         pool = self._ids_by_target.get((query.kind, query.target), {})
         agents = [self._agents_by_id[each] for each in pool if each not in query.excluded]
         return [each for each in agents if each.view.connected and not each.view.leaving]
 
     def _split_by_circuit(
-        self, eligible: list[_Known], query: RouteQuery, now: Instant
-    ) -> tuple[list[_Known], list[_Known]]:
+        self, eligible: list[_TrackedAgent], query: RouteQuery, now: Instant
+    ) -> tuple[list[_TrackedAgent], list[_TrackedAgent]]:
         pool = self._ids_by_target.get((query.kind, query.target), {})
-        closed: list[_Known] = []
-        half_open: list[_Known] = []
+        closed: list[_TrackedAgent] = []
+        half_open: list[_TrackedAgent] = []
         for known in eligible:
             state = self._detector.state(known.view.agent_id, pool, now)
             if state == "closed":
@@ -245,8 +246,8 @@
         return closed, half_open
 
     def _choose_probe(
-        self, half_open: list[_Known], query: RouteQuery, now: Instant
-    ) -> _Known | None:
+        self, half_open: list[_TrackedAgent], query: RouteQuery, now: Instant
+    ) -> _TrackedAgent | None:
         if not query.idempotent:
             return None
         for known in half_open:
@@ -256,33 +257,37 @@
                 return known
         return None
 
-    def _rank(self, usable: list[_Known], query: RouteQuery, count: int) -> list[_Known]:
+    def _rank(
+        self, usable: list[_TrackedAgent], query: RouteQuery, count: int
+    ) -> list[_TrackedAgent]:
         if query.prefix_hash:
             return self._rank_by_affinity(usable, query.prefix_hash, count)
-        sample_size = min(len(usable), SAMPLE_FACTOR * count)
+        sample_size = min(len(usable), SAMPLES_PER_AGENT * count)
         return sorted(self._random.sample(usable, sample_size), key=self._load_key)
 
-    def _rank_by_affinity(self, usable: list[_Known], prefix_hash: int, count: int) -> list[_Known]:
-        """Order by rendezvous hash within the load bound, then by load.
+    def _rank_by_affinity(
+        self, usable: list[_TrackedAgent], prefix_hash: int, count: int
+    ) -> list[_TrackedAgent]:
+        """Order agents within the load bound by rendezvous hash, followed by the others by load.
 
-        Every entry gives a prefix the same order, without agreeing on anything, and an agent that
-        comes or goes moves only its own prefixes.
+        All entries compute the same order for a prefix without coordination. Adding or removing an
+        agent only moves that agent's prefixes.
         """
-        utilisations = [each.utilisation for each in usable]
-        mean = sum(utilisations) / len(usable)
-        bound = max(UNBOUNDED_LOAD, LOAD_BOUND * mean)
-        within = [each for each, used in zip(usable, utilisations, strict=True) if used < bound]
+        utilizations = [each.utilization for each in usable]
+        mean = sum(utilizations) / len(usable)
+        bound = max(ALWAYS_AFFINE_UTILIZATION, LOAD_BOUND * mean)
+        within = [each for each, used in zip(usable, utilizations, strict=True) if used < bound]
         within.sort(key=lambda each: affinity_score(prefix_hash, each.view.agent_id), reverse=True)
         if len(within) >= count:
             return within
-        over = [each for each, used in zip(usable, utilisations, strict=True) if used >= bound]
+        over = [each for each, used in zip(usable, utilizations, strict=True) if used >= bound]
         return within + sorted(over, key=self._load_key)
 
-    def _load_key(self, known: _Known) -> tuple[int, int, bool]:
-        wait = known.view.load.predicted_wait // WAIT_STEP
-        return wait, int(known.utilisation * LOAD_STEPS), known.view.zone != self._zone
+    def _load_key(self, known: _TrackedAgent) -> tuple[int, int, bool]:
+        wait = known.view.load.predicted_wait // WAIT_GRANULARITY
+        return wait, int(known.utilization * LOAD_STEPS), known.view.zone != self._zone
 
 
 def affinity_score(prefix_hash: int, agent_id: str) -> int:
-    """Return an agent's rank value for a prefix by rendezvous hash; the highest is preferred."""
+    """Return an agent's rendezvous hash score for a prefix; the highest score is preferred."""
     return xxh64_intdigest(agent_id.encode(), prefix_hash & (2**64 - 1))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/scheduler.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/scheduler.py
@@ -1,4 +1,4 @@
-"""The agent's scheduler: which reservation gets a slot of the backend server, and when."""
+"""The agent's scheduler, which assigns the slots of its backend server to reservations."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     from .reservations import Reservation, SchedulerDecision
 
 GRANT_LIFETIME = timedelta(seconds=1)
-"""How long a slot is held for a body that does not come."""
+"""How long a granted slot is held for the request's body."""
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """What an agent knows of its backend server at start."""
+    """Concurrency limits of the backend server at start."""
 
     initial_limit: int = 16
-    """Concurrency limit before anything was learned."""
+    """Concurrency limit before any latency is measured."""
     maximum_limit: int = 256
 
 
 class Scheduler:
-    """Queue, slots and limit of one backend server; it does no input or output.
+    """Manages the queue, slots and concurrency limit of one backend server, without I/O.
 
-    Every method takes the present instant and returns the decisions that follow from the event.
-    The same events at the same instants give the same decisions. `tick` is wanted about ten times
-    a second.
+    Event methods take the current time and return the resulting decisions. The scheduler is
+    deterministic: the same events at the same times give the same decisions. `tick` must be called
+    about ten times per second.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._draining = False
 
     def configure(self, configuration: Configuration, now: Instant) -> list[SchedulerDecision]:
-        """Take a newer configuration into force; the queue is sorted anew by it."""
+        """Apply a newer configuration and rebuild the queue."""
         self._state.configuration = configuration
         decisions: list[SchedulerDecision] = []
         for request in list(self._queue):
@@ -70,7 +70,7 @@
         return decisions + self._dispatch(now)
 
     def offer(self, reservation: Reservation, now: Instant) -> list[SchedulerDecision]:
-        """Queue a reservation, or refuse it at once."""
+        """Queue a reservation or refuse it."""
         if reservation.request_id in self._queue or reservation.request_id in self._slots:
             return []
         if self._draining:
@@ -80,19 +80,19 @@
         request = self._state.queued_request(reservation, now)
         refusal = self._admission.refusal(request, now)
         if refusal is not None:
-            return [*self._make_way(refusal, request.tier, now), refusal]
+            return [*self._preempt_for_refusal(refusal, request.tier, now), refusal]
         self._enqueue(request, now)
         return self._dispatch(now)
 
     def withdraw(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Forget a reservation that is queued or granted; a running one is left to `finished`."""
+        """Remove a queued or granted reservation; running requests end with `finished` instead."""
         if self._dequeue(request_id) is not None:
-            self._state.waits.left_queue(with_slot=False)
+            self._state.waits.observe_departure(granted=False)
         self._slots.held_by_id.pop(request_id, None)
         return self._dispatch(now)
 
     def started(self, reservation: Reservation, now: Instant) -> bool:
-        """Turn a grant into a running request; False where the grant had expired."""
+        """Turn a grant into a running request; return False if the grant has expired."""
         slot = self._slots.held_by_id.pop(reservation.request_id, None)
         if slot is None:
             return False
@@ -107,7 +107,7 @@
         return True
 
     def progressed(self, request_id: str, tokens: int, now: Instant) -> None:
-        """Record tokens that the engine gave to a running request."""
+        """Record tokens that the engine generated for a running request."""
         running = self._slots.running_by_id.get(request_id)
         if running is None or tokens < 1:
             return
@@ -123,7 +123,7 @@
         running.last_token_at = now
 
     def preempted(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Record that the engine has let go of a preempted request, which is queued again."""
+        """Queue a preempted request again after the engine has stopped it."""
         running = self._slots.running_by_id.pop(request_id, None)
         if running is None:
             return []
@@ -135,26 +135,26 @@
         return [Requeued(request_id), *self._dispatch(now)]
 
     def finished(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Free the slot of a request that ended in any way."""
+        """Free the slot of a request that ended, whatever its outcome."""
         running = self._slots.running_by_id.pop(request_id, None)
         if running is not None:
-            self._learn(running, now)
+            self._record_finished(running, now)
         self._slots.held_by_id.pop(request_id, None)
         self._dequeue(request_id)
         return self._dispatch(now)
 
     def tick(self, now: Instant) -> list[SchedulerDecision]:
-        """Expire grants, refuse what can no longer meet its deadline, adapt the limit."""
+        """Expire grants, refuse requests that cannot start in time, and adapt the limit."""
         for slot in self._slots.expire(now):
-            self._expired(slot, now)
+            self._requeue_expired(slot, now)
         self._state.waits.observe_occupancy(self._state.limit.value, now)
         self._adapt_limit(now)
-        decisions = self._refuse_hopeless(now)
+        decisions = self._refuse_infeasible(now)
         decisions += self._dispatch(now)
-        return decisions + list(self._preemption.above_limit(now))
+        return decisions + list(self._preemption.preempt_above_limit(now))
 
     def drain(self, now: Instant) -> list[SchedulerDecision]:
-        """Hand back everything queued and take nothing new; what has begun goes on."""
+        """Refuse queued and new requests; requests that have begun continue."""
         self._draining = True
         waiting = [each.request_id for each in self._queue if not each.begun]
         for request_id in waiting:
@@ -162,7 +162,7 @@
         return [Refuse(each, NotRunReason.DRAINING) for each in waiting]
 
     def load(self, now: Instant) -> LoadReport:
-        """Return the agent's own counts."""
+        """Return the agent's load report."""
         configuration = self._state.configuration
         classes = [configuration.class_in_force(each) for each in configuration.classes_by_name]
         tier = min((each.tier for each in classes), default=0)
@@ -180,20 +180,20 @@
     def _dispatch(self, now: Instant) -> list[SchedulerDecision]:
         decisions: list[SchedulerDecision] = []
         while self._state.may_grant(now):
-            request = self._next(now)
+            request = self._next_request(now)
             if request is None:
                 break
-            if self._admission.is_late(request, now) and not self._can_make_way(request, now):
+            if self._admission.is_late(request, now) and not self._can_preempt_for(request, now):
                 self._dequeue(request.request_id)
-                self._aging.refused(request.tier, now)
-                decisions.append(self._admission.late(request, now))
+                self._aging.on_refused(request.tier, now)
+                decisions.append(self._admission.late_refusal(request, now))
             else:
                 decisions.append(self._grant(request, now))
         self._state.limit.observe_used(len(self._slots))
         decisions += self._preemption.due(now)
         return decisions
 
-    def _next(self, now: Instant) -> QueuedRequest | None:
+    def _next_request(self, now: Instant) -> QueuedRequest | None:
         first = self._queue.first()
         if first is None:
             return None
@@ -203,55 +203,57 @@
         aged.protected = True
         return aged
 
-    def _can_make_way(self, request: QueuedRequest, now: Instant) -> bool:
+    def _can_preempt_for(self, request: QueuedRequest, now: Instant) -> bool:
         return bool(self._slots.victims(request.tier, now, spare_protected=False))
 
     def _grant(self, request: QueuedRequest, now: Instant) -> Grant:
         self._queue.take(request)
-        self._left(request)
+        self._untrack(request)
         expires_at = now + GRANT_LIFETIME.total_seconds()
         self._slots.held_by_id[request.request_id] = HeldSlot(request, expires_at)
-        self._state.waits.left_queue(with_slot=True)
+        self._state.waits.observe_departure(granted=True)
         return Grant(request.request_id, expires_at)
 
     def _enqueue(self, request: QueuedRequest, now: Instant) -> None:
         self._queue.add(request)
-        self._preemption.queued(request, now)
-        self._aging.queued(request)
+        self._preemption.on_queued(request, now)
+        self._aging.on_queued(request)
 
     def _dequeue(self, request_id: str) -> QueuedRequest | None:
         request = self._queue.remove(request_id)
         if request is not None:
-            self._left(request)
+            self._untrack(request)
         return request
 
-    def _left(self, request: QueuedRequest) -> None:
-        self._preemption.left(request)
-        self._aging.left(request)
+    def _untrack(self, request: QueuedRequest) -> None:
+        self._preemption.on_left_queue(request)
+        self._aging.on_left_queue(request)
 
-    def _expired(self, slot: HeldSlot, now: Instant) -> None:
+    def _requeue_expired(self, slot: HeldSlot, now: Instant) -> None:
         if slot.request.begun:
             self._enqueue(slot.request, now)
 
-    def _refuse_hopeless(self, now: Instant) -> list[SchedulerDecision]:
+    def _refuse_infeasible(self, now: Instant) -> list[SchedulerDecision]:
         decisions: list[SchedulerDecision] = []
-        for refusal in self._admission.hopeless(now):
+        for refusal in self._admission.refuse_infeasible(now):
             request = self._dequeue(refusal.request_id)
             if request is not None:
-                decisions += self._make_way(refusal, request.tier, now)
+                decisions += self._preempt_for_refusal(refusal, request.tier, now)
             decisions.append(refusal)
         return decisions
 
-    def _make_way(self, refusal: Refuse, tier: int, now: Instant) -> list[SchedulerDecision]:
+    def _preempt_for_refusal(
+        self, refusal: Refuse, tier: int, now: Instant
+    ) -> list[SchedulerDecision]:
         if refusal.reason is not NotRunReason.OVERLOADED:
             return []
-        self._aging.refused(tier, now)
-        return list(self._preemption.for_refusal(tier, now))
+        self._aging.on_refused(tier, now)
+        return list(self._preemption.preempt_for_refusal(tier, now))
 
     def _adapt_limit(self, now: Instant) -> None:
         self._state.limit.adapt(self._slots.strictest_targets(), len(self._slots), now)
 
-    def _learn(self, running: RunningRequest, now: Instant) -> None:
+    def _record_finished(self, running: RunningRequest, now: Instant) -> None:
         name = running.request_class.name
         mean = running.mean_between_tokens
         most_urgent = self._slots.most_urgent_tier()
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/subsets.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/subsets.py
@@ -1,10 +1,10 @@
-"""Which agents an entry connects to where there are too many to connect to all.
+"""Selects the subset of agents that an entry connects to in a large fleet.
 
-Every entry computes the whole assignment from the same two lists, so no entry asks another. The
-agents are split into strata by zone and by what they serve. In each stratum the pairs of entry and
-agent are taken in the order of a hash, while the agent still has fewer entries than its even share
-and the entry fewer agents than its quota. As the order of two pairs never changes, an entry or an
-agent that comes or goes moves few of the others' connections.
+Every entry computes the same assignment from the lists of entries and agents, without coordination.
+Agents are split into strata by zone and by the models or services they serve. Within a stratum, the
+pairs of entry and agent are taken in hash order as long as the agent is below its even share of
+entries and the entry is below its quota of agents. The relative order of two pairs never changes,
+so adding or removing an entry or agent moves few other connections.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
     from collections.abc import Iterable, Mapping, Sequence
 
 MINIMUM_SIZE = 16
-"""Agents an entry connects to where there are as many."""
+"""Minimum number of agents an entry connects to, if there are as many."""
 
-REMEMBERED_STRATA = 512
-"""Strata whose assignment is remembered; seven zones with 27 models have 189."""
+CACHED_STRATA = 512
+"""Size of the assignment cache in strata; seven zones with 27 models have 189 strata."""
 
-COVERAGE = 3
-"""Entries that should be connected to each agent."""
+ENTRIES_PER_AGENT = 3
+"""Target number of entries connected to each agent."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetAgent:
-    """What the assignment needs to know of an agent."""
+    """Properties of an agent that determine the assignment."""
 
     agent_id: str
     zone: str
     targets: frozenset[str] = frozenset()
-    """Models or services served; left empty by all entries where it is not published."""
+    """Models or services that the agent serves; empty on all entries if this is not published."""
 
 
 def subset_size(entries: int, agents: int) -> int:
@@ -47,31 +47,31 @@
         >>> subset_size(entries=3, agents=9), subset_size(entries=48, agents=790)
         (9, 50)
     """
-    return min(agents, max(MINIMUM_SIZE, ceil(COVERAGE * agents / max(1, entries))))
+    return min(agents, max(MINIMUM_SIZE, ceil(ENTRIES_PER_AGENT * agents / max(1, entries))))
 
 
 def subset(
     entry_id: str, entries: Sequence[str], agents: Sequence[SubsetAgent], size: int
 ) -> tuple[str, ...]:
-    """Return the agents that an entry connects to, sorted.
+    """Return the sorted ids of the agents that an entry connects to.
 
     Args:
-        entry_id: The entry that asks.
-        entries: Live entries; the one that asks is counted even where the list lags behind.
+        entry_id: The entry whose subset is computed.
+        entries: Live entries; `entry_id` is added if the list does not contain it yet.
         agents: Live agents.
-        size: Agents wanted; exceeded only where a stratum would otherwise have none.
+        size: Number of agents wanted; exceeded only if a stratum would otherwise get none.
     """
-    everyone = tuple(sorted({*entries, entry_id}))
+    all_entries = tuple(sorted({*entries, entry_id}))
     if size >= len(agents):
         return tuple(sorted(each.agent_id for each in agents))
     chosen: list[str] = []
     for agent_ids, quota in _quotas(agents, size):
-        chosen.extend(_assigned_to(entry_id, everyone, tuple(agent_ids), quota))
+        chosen.extend(_assigned_to(entry_id, all_entries, tuple(agent_ids), quota))
     return tuple(sorted(chosen))
 
 
 def _quotas(agents: Iterable[SubsetAgent], size: int) -> list[tuple[list[str], int]]:
-    """Split the size over the strata in proportion, one at the least, by largest remainder."""
+    """Split the size over the strata by the largest remainder method, with at least one each."""
     ids_by_stratum: defaultdict[tuple[str, tuple[str, ...]], list[str]] = defaultdict(list)
     for agent in agents:
         ids_by_stratum[agent.zone, tuple(sorted(agent.targets))].append(agent.agent_id)
@@ -84,14 +84,14 @@
     return [(ids_by_stratum[key], quotas[key]) for key in sorted(quotas)]
 
 
-@lru_cache(maxsize=REMEMBERED_STRATA)
+@lru_cache(maxsize=CACHED_STRATA)
 def _assigned_to(
     entry_id: str, entries: tuple[str, ...], agents: tuple[str, ...], quota: int
 ) -> tuple[str, ...]:
-    """Return a stratum's agents of one entry.
+    """Return the agents of a stratum that are assigned to one entry.
 
-    An agent that comes or goes changes one stratum of hundreds; remembering the others keeps the
-    event loop, which relays tokens meanwhile, from standing still for all of them.
+    Adding or removing an agent changes one stratum out of hundreds. The results of the others are
+    cached, since recomputing all of them would block the event loop, which also relays tokens.
     """
     return tuple(_assign(entries, agents, quota)[entry_id])
 
@@ -100,15 +100,15 @@
     """Assign a stratum's agents to every entry."""
     assignment = _Assignment(entries, agents, min(quota, len(agents)))
     even_share = len(entries) * assignment.quota // len(agents)
-    # First each agent its even share, then the rest; a last pass without a bound fills an entry
-    # whose only agents below their share are those it already has.
+    # The first pass gives each agent its even share and the second one distributes the rest. An
+    # entry may already have all agents below the bound, so the last pass is unbounded.
     for bound in (even_share, even_share + 1, len(entries)):
         assignment.fill(bound)
     return assignment.ids_by_entry
 
 
 class _Assignment:
-    """Entries and agents of one stratum being matched."""
+    """Assignment of the agents of one stratum to entries, while it is computed."""
 
     def __init__(self, entries: Sequence[str], agents: Sequence[str], quota: int) -> None:
         self.quota = quota
@@ -121,16 +121,16 @@
         )
 
     def fill(self, bound: int) -> None:
-        """Take the pairs in order while the agent has fewer than `bound` entries."""
-        left = []
+        """Assign pairs in hash order as long as their agent has fewer than `bound` entries."""
+        remaining = []
         for pair in self._pairs:
             _, entry, agent = pair
             chosen = self.ids_by_entry[entry]
             if len(chosen) >= self.quota:
                 continue
             if self._entries_by_agent[agent] >= bound:
-                left.append(pair)
+                remaining.append(pair)
                 continue
             chosen.append(agent)
             self._entries_by_agent[agent] += 1
-        self._pairs = left
+        self._pairs = remaining
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/timed_requests.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/timed_requests.py
@@ -1,4 +1,4 @@
-"""Queued requests by the instant at which something becomes true of them."""
+"""Collections of queued requests: ordered by a due time, or marked and counted by tier."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
     from .fair_queue import FairQueue, QueuedRequest
 
 COMPACTION_SLACK = 64
-"""Stale items a heap may hold above the queue's own length before they are cleared out."""
+"""Constant term of the heap size limit; above twice the queue's length plus this number, items of
+requests that left the queue are removed."""
 
 
 class TimedRequests:
-    """A heap of instants; requests that left the queue are dropped when they are met."""
+    """Heap of requests by due time; requests that left the queue are removed lazily."""
 
     def __init__(self, queue: FairQueue) -> None:
         self._queue = queue
@@ -23,14 +24,14 @@
         self._sequence = count()
 
     def add(self, at: Instant, request: QueuedRequest) -> None:
-        """Note the instant of a queued request."""
+        """Add a queued request with its due time."""
         if len(self._heap) > 2 * len(self._queue) + COMPACTION_SLACK:
             self._heap = [each for each in self._heap if self._queue.holds(each[2])]
             heapify(self._heap)
         heappush(self._heap, (at, next(self._sequence), request))
 
     def pop_due(self, now: Instant) -> list[QueuedRequest]:
-        """Return the requests whose instant has come and that are still queued, in its order."""
+        """Remove all due requests, and return those still queued, ordered by due time."""
         due = []
         while self._heap and self._heap[0][0] <= now:
             request = heappop(self._heap)[2]
@@ -40,7 +41,7 @@
 
 
 class MarkedRequests:
-    """Queued requests with a mark, counted by tier; they lose it on leaving the queue."""
+    """Set of marked requests, counted by tier; callers discard requests that leave the queue."""
 
     def __init__(self) -> None:
         self._ids_by_tier: dict[int, set[str]] = {}
@@ -50,7 +51,7 @@
         self._ids_by_tier.setdefault(request.tier, set()).add(request.request_id)
 
     def discard(self, request: QueuedRequest) -> None:
-        """Take the mark off."""
+        """Remove the mark of a request."""
         ids = self._ids_by_tier.get(request.tier)
         if ids is None:
             return
@@ -59,9 +60,9 @@
             del self._ids_by_tier[request.tier]
 
     def tiers(self) -> list[int]:
-        """Return the tiers with a marked request, the most urgent first."""
+        """Return the tiers with marked requests, most urgent first."""
         return sorted(self._ids_by_tier)
 
     def count_through(self, tier: int) -> int:
-        """Return how many of a tier and more urgent ones are marked."""
+        """Return the number of marked requests of a tier and more urgent ones."""
         return sum(len(ids) for each, ids in self._ids_by_tier.items() if each <= tier)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/work_estimate.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/work_estimate.py
@@ -1,4 +1,4 @@
-"""Expected answer lengths, learned online by class and account."""
+"""Estimates answer lengths online, per class and account."""
 
 from __future__ import annotations
 
@@ -6,27 +6,28 @@
 from math import log2
 
 BUCKETS_PER_DOUBLING = 2
-"""Resolution of a length distribution: each bucket is about 1.4 times as wide as the last."""
+"""Resolution of a length distribution: each bucket is about 1.4 times as wide as the previous."""
 
 BUCKET_COUNT = 36
-"""Buckets of a distribution; the last one begins at about 180,000 tokens."""
+"""Number of buckets of a distribution; the last one starts at about 180,000 tokens."""
 
 DECAY = 0.98
-"""Weight that an older answer keeps with each newer one; about the last 50 answers count."""
+"""Factor by which each new answer reduces the weight of older ones, so that about the last 50
+answers count."""
 
 MINIMUM_MASS = 8.0
-"""Answers that a distribution must hold before it is preferred to a wider one."""
+"""Minimum weighted number of answers before a distribution is preferred to a more general one."""
 
 DEFAULT_TOKENS = 64.0
-"""Expected length while nothing at all was learned. Rather short: too long a guess would refuse
-requests of a new agent for no reason, while too short a one is corrected in the queue."""
+"""Expected length before any answer was observed. It is short on purpose: a high estimate makes a
+new agent refuse requests needlessly, while a low estimate is corrected in the queue."""
 
 MAXIMUM_DISTRIBUTIONS = 2_048
-"""Distributions kept by class and account; the least recently used goes first."""
+"""Maximum number of distributions by class and account; the least recently used are evicted."""
 
 
 class LengthDistribution:
-    """Decayed histogram of answer lengths in log-spaced buckets.
+    """Exponentially decayed histogram of answer lengths with log-spaced buckets.
 
     Example:
         >>> lengths = LengthDistribution()
@@ -43,7 +44,7 @@
         self._tails: list[tuple[float, float]] | None = None
 
     def observe(self, tokens: int) -> None:
-        """Take in the length of a finished answer."""
+        """Record the length of a finished answer."""
         bucket = _bucket(tokens)
         self._mass_by_bucket = [each * DECAY for each in self._mass_by_bucket]
         self._tokens_by_bucket = [each * DECAY for each in self._tokens_by_bucket]
@@ -53,12 +54,16 @@
         self._tails = None
 
     def expected_remaining(self, age: int) -> float:
-        """Return the expected tokens still to come of an answer that has `age` tokens."""
+        """Return the expected remaining tokens of an answer that already has `age` tokens."""
         mass, tokens = self._tail(_bucket(age) + 1 if age else 0)
-        own = _bucket(age)
-        if age and self._mass_by_bucket[own] and self._mean(own) > age:
-            mass += self._mass_by_bucket[own]
-            tokens += self._tokens_by_bucket[own]
+        account_distribution = _bucket(age)
+        if (
+            age
+            and self._mass_by_bucket[account_distribution]
+            and self._mean(account_distribution) > age
+        ):
+            mass += self._mass_by_bucket[account_distribution]
+            tokens += self._tokens_by_bucket[account_distribution]
         if mass < self.mass * 0.01 or not mass:
             return max(1.0, 0.5 * age)
         return max(1.0, tokens / mass - age)
@@ -68,10 +73,10 @@
 
     def _tail(self, bucket: int) -> tuple[float, float]:
         if self._tails is None:
-            self._tails = self._summed_tails()
+            self._tails = self._compute_tails()
         return self._tails[min(bucket, BUCKET_COUNT)]
 
-    def _summed_tails(self) -> list[tuple[float, float]]:
+    def _compute_tails(self) -> list[tuple[float, float]]:
         tails = [(0.0, 0.0)]
         mass, tokens = 0.0, 0.0
         for bucket in reversed(range(BUCKET_COUNT)):
@@ -82,16 +87,16 @@
 
 
 class WorkEstimates:
-    """Distributions by class and account, by class, and over everything."""
+    """Length distributions by class and account, by class, and over all answers."""
 
     def __init__(self) -> None:
-        self._all = LengthDistribution()
+        self._overall = LengthDistribution()
         self._by_class: dict[str, LengthDistribution] = {}
         self._by_class_and_account: OrderedDict[tuple[str, str], LengthDistribution] = OrderedDict()
 
     def observe(self, request_class: str, account: str, tokens: int) -> None:
-        """Take in the length of a finished answer."""
-        self._all.observe(tokens)
+        """Record the length of a finished answer."""
+        self._overall.observe(tokens)
         self._by_class.setdefault(request_class, LengthDistribution()).observe(tokens)
         key = (request_class, account)
         self._by_class_and_account.setdefault(key, LengthDistribution()).observe(tokens)
@@ -102,16 +107,16 @@
     def expected_remaining(
         self, request_class: str, account: str, age: int = 0, hint: int = 0
     ) -> float:
-        """Return the expected tokens still to come.
+        """Return the expected remaining tokens of an answer.
 
         Args:
             request_class: The name of the request's class.
             account: The name of the client account.
-            age: Tokens that the answer has already.
-            hint: The expected length that came with the request; 0 for none.
+            age: Number of tokens that the answer already has.
+            hint: The expected length given with the request, or 0 for none.
 
         Returns:
-            Tokens, at least one.
+            The expected number of tokens, at least one.
         """
         distribution = self._distribution(request_class, account)
         if distribution is not None:
@@ -119,13 +124,13 @@
         return max(1.0, (hint or DEFAULT_TOKENS) - age, 0.5 * age)
 
     def _distribution(self, request_class: str, account: str) -> LengthDistribution | None:
-        own = self._by_class_and_account.get((request_class, account))
-        if own is not None and own.mass >= MINIMUM_MASS:
-            return own
-        of_class = self._by_class.get(request_class)
-        if of_class is not None and of_class.mass >= MINIMUM_MASS:
-            return of_class
-        return self._all if self._all.mass >= MINIMUM_MASS else None
+        account_distribution = self._by_class_and_account.get((request_class, account))
+        if account_distribution is not None and account_distribution.mass >= MINIMUM_MASS:
+            return account_distribution
+        class_distribution = self._by_class.get(request_class)
+        if class_distribution is not None and class_distribution.mass >= MINIMUM_MASS:
+            return class_distribution
+        return self._overall if self._overall.mass >= MINIMUM_MASS else None
 
 
 def _bucket(tokens: int) -> int:
--- a/packages/ragwortwing-policy/tests/test_account_limits.py
+++ b/packages/ragwortwing-policy/tests/test_account_limits.py
@@ -72,23 +72,23 @@
     limiter = AccountLimiter(configuration(concurrency=40), entries=4)
     assert admitted(limiter, 40, 0.0) == 10
     for second in range(1, 20):
-        limiter.observed(AccountUsage("a", limiter_use(limiter), 0.0), float(second))
+        limiter.observed(AccountUsage("a", local_in_flight(limiter), 0.0), float(second))
         admitted(limiter, 40, float(second))
-    assert limiter_use(limiter) >= 30
+    assert local_in_flight(limiter) >= 30
 
 
 def test_part_falls_back_to_an_equal_one_when_reports_stop() -> None:
     limiter = AccountLimiter(configuration(concurrency=40), entries=4)
     for second in range(1, 20):
-        limiter.observed(AccountUsage("a", limiter_use(limiter), 0.0), float(second))
+        limiter.observed(AccountUsage("a", local_in_flight(limiter), 0.0), float(second))
         admitted(limiter, 40, float(second))
-    for _ in range(limiter_use(limiter)):
+    for _ in range(local_in_flight(limiter)):
         limiter.release("a", 30.0)
     assert admitted(limiter, 40, 30.0) == 10
 
 
-def limiter_use(limiter: AccountLimiter) -> int:
-    return limiter._share_by_account["a"].own.in_flight if limiter._share_by_account else 0
+def local_in_flight(limiter: AccountLimiter) -> int:
+    return limiter._share_by_account["a"].local_usage.in_flight if limiter._share_by_account else 0
 
 
 demand = st.lists(st.lists(st.integers(0, 12), min_size=3, max_size=3), min_size=5, max_size=40)
--- a/packages/ragwortwing-policy/tests/test_concurrency_limit.py
+++ b/packages/ragwortwing-policy/tests/test_concurrency_limit.py
@@ -1,8 +1,8 @@
 from __future__ import annotations
 
 from ragwortwing_policy.concurrency_limit import (
-    HIGHEST_AIM,
-    LOWEST_AIM,
+    MAXIMUM_SETPOINT_SHARE,
+    MINIMUM_SETPOINT_SHARE,
     ConcurrencyLimit,
     EngineLimit,
     LatencyTargets,
@@ -90,15 +90,15 @@
     settled = run(limit, CHAT, 0.0, 60.0)
     by_default = limit.value
     for number in range(100):
-        limit.observe_answer(held=False, now=settled + number)
+        limit.observe_answer(met_target=False, now=settled + number)
     run(limit, CHAT, settled + 100.0, 60.0)
     assert limit.value < by_default
-    assert step(limit) > 0.9 * LOWEST_AIM * CHAT.between_tokens
+    assert step(limit) > 0.9 * MINIMUM_SETPOINT_SHARE * CHAT.between_tokens
     for _ in range(5_000):
-        limit.observe_answer(held=True, now=settled + 300.0)
+        limit.observe_answer(met_target=True, now=settled + 300.0)
     run(limit, CHAT, settled + 300.0, 90.0)
     assert by_default < limit.value
-    assert step(limit) < 1.06 * HIGHEST_AIM * CHAT.between_tokens
+    assert step(limit) < 1.06 * MAXIMUM_SETPOINT_SHARE * CHAT.between_tokens
 
 
 def test_first_chat_after_a_quiet_time_finds_the_limit_of_chats() -> None:
--- a/packages/ragwortwing-policy/tests/test_configuration_document.py
+++ b/packages/ragwortwing-policy/tests/test_configuration_document.py
@@ -10,7 +10,7 @@
 
 from ragwortwing_policy.configuration import Configuration
 from ragwortwing_policy.configuration_document import (
-    ReadBefore,
+    PreviousDocument,
     Refused,
     read_document,
     write_document,
@@ -122,7 +122,7 @@
     name = next(iter(changed["accounts"]))
     changed["accounts"][name]["weight"] = 7.0
     changed["accounts"]["broken"] = {"classes": ["no-such-class"]}
-    before = ReadBefore(DOCUMENT, first)
+    before = PreviousDocument(DOCUMENT, first)
     assert read_document(changed, 2, "ordinary", before) == read_document(changed, 2, "ordinary")
     del changed["accounts"]["broken"]
     second = read_document(changed, 2, "ordinary", before)
@@ -146,7 +146,7 @@
     changed = deepcopy(before_document)
     changed["classes"]["chat"]["tier"] = value
     fresh = read_document(changed, 2, "ordinary")
-    assert read_document(changed, 2, "ordinary", ReadBefore(before_document, before)) == fresh
+    assert read_document(changed, 2, "ordinary", PreviousDocument(before_document, before)) == fresh
     assert isinstance(fresh, Refused)
 
 
@@ -172,4 +172,4 @@
     fresh = read_document(changed, 2, "ordinary")
     assert isinstance(fresh, Refused)
     assert any(fault.path.startswith("accounts.suva-cakes") for fault in fresh.faults)
-    assert read_document(changed, 2, "ordinary", ReadBefore(DOCUMENT, first)) == fresh
+    assert read_document(changed, 2, "ordinary", PreviousDocument(DOCUMENT, first)) == fresh
