--- a/packages/ragwortwing-policy/tests/test_account_limits.py
+++ b/packages/ragwortwing-policy/tests/test_account_limits.py
@@ -1,3 +1,5 @@
+"""Tests of account limits that are split over several entries."""
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -31,7 +33,7 @@
     return sum(limiter.admit("a", now) is None for _ in range(attempts))
 
 
-def test_burst_then_rate_with_the_time_of_the_next_token() -> None:
+def test_burst_is_followed_by_rate_limit_with_retry_delay() -> None:
     limiter = AccountLimiter(configuration(rate=2.0, burst=5))
     assert admitted(limiter, 10, 0.0) == 5
     refusal = limiter.admit("a", 0.0)
@@ -51,7 +53,7 @@
     assert admitted(limiter, 3, 0.1) == 1
 
 
-def test_limits_split_over_entries_and_no_token_appears_by_a_change() -> None:
+def test_limits_are_split_over_entries_and_resizing_adds_no_tokens() -> None:
     limiter = AccountLimiter(configuration(rate=10.0, burst=20, concurrency=8), entries=4)
     assert admitted(limiter, 10, 0.0) == 2
     limiter.entries_changed(1, 0.0)
@@ -65,9 +67,11 @@
     assert admitted(limiter, 8, 1.0) == 1
 
 
-def test_part_follows_use_when_the_balancer_favours_one_entry() -> None:
-    """An account's calls all reach one of four entries. It gets a quarter of its limit at first;
-    with the agents' reports the entry's part grows to nearly the whole of it.
+def test_share_follows_usage_when_one_entry_gets_all_calls() -> None:
+    """Guards against an account being held to a quarter of its limit.
+
+    All calls of the account reach one of four entries. With usage reports, that entry's share must
+    grow from a quarter to nearly the whole limit.
     """
     limiter = AccountLimiter(configuration(concurrency=40), entries=4)
     assert admitted(limiter, 40, 0.0) == 10
@@ -77,7 +81,7 @@
     assert local_in_flight(limiter) >= 30
 
 
-def test_part_falls_back_to_an_equal_one_when_reports_stop() -> None:
+def test_share_becomes_equal_again_when_reports_stop() -> None:
     limiter = AccountLimiter(configuration(concurrency=40), entries=4)
     for second in range(1, 20):
         limiter.observed(AccountUsage("a", local_in_flight(limiter), 0.0), float(second))
@@ -97,8 +101,10 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(demand)
 def test_overshoot_is_bounded_while_demand_moves_between_entries(demand) -> None:
-    """Demand jumps between three entries while the agents' reports are one interval old. The
-    requests of the whole site stay below twice the limit's rate and its bursts at any time.
+    """Guards against unbounded overshoot with stale usage reports.
+
+    Demand moves between three entries while usage reports are one interval old. The requests of the
+    whole site must stay below twice the rate limit plus the bursts.
     """
     rate, burst, entries = 9.0, 9, 3
     limiters = [AccountLimiter(configuration(rate, burst), entries) for _ in range(entries)]
@@ -119,7 +125,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.integers(1, 8), st.integers(1, 60))
-def test_equal_parts_never_exceed_the_limit_but_for_one_request_an_entry(entries, limit) -> None:
+def test_equal_shares_exceed_limit_by_at_most_one_request_per_entry(entries, limit) -> None:
     limiters = [AccountLimiter(configuration(concurrency=limit), entries) for _ in range(entries)]
     total = sum(admitted(each, limit + 1, 0.0) for each in limiters)
     assert total <= max(limit, entries)
--- a/packages/ragwortwing-policy/tests/test_configuration.py
+++ b/packages/ragwortwing-policy/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The preset in force changes a class, and only the class it names."""
+"""Tests of the overrides that a preset applies to request classes."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-policy/tests/test_configuration_document.py
+++ b/packages/ragwortwing-policy/tests/test_configuration_document.py
@@ -1,4 +1,4 @@
-"""Every fault of a document is told with its path; a sound one comes back as it was written."""
+"""Tests that document faults are reported with their paths and valid documents round-trip."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     return document
 
 
-def test_a_sound_document_is_read_and_written_back() -> None:
+def test_valid_document_round_trips() -> None:
     configuration = read_document(DOCUMENT, 7, "peak")
     assert isinstance(configuration, Configuration)
     assert configuration.classes_by_name["chat"].first_token_target == timedelta(seconds=1.5)
@@ -90,13 +90,15 @@
 
 
 @pytest.mark.parametrize(("path", "value", "fault_path"), FAULT_CASES)
-def test_a_fault_is_told_with_its_path(path: tuple[str, ...], value: Any, fault_path: str) -> None:
+def test_fault_is_reported_with_its_path(
+    path: tuple[str, ...], value: Any, fault_path: str
+) -> None:
     refused = read_document(changed(path, value), 7, None)
     assert isinstance(refused, Refused)
     assert fault_path in [fault.path for fault in refused.faults]
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     document = changed(("classes", "chat", "tier"), 99)
     document["classes"]["draft"]["colour"] = "red"
     document["presets"]["peak"]["account_limit_factor"] = -1
@@ -109,13 +111,13 @@
     ]
 
 
-def test_the_preset_in_force_must_stay_in_the_document() -> None:
+def test_preset_in_force_must_be_defined() -> None:
     refused = read_document(DOCUMENT, 7, "maintenance")
     assert isinstance(refused, Refused)
     assert [fault.path for fault in refused.faults] == ["presets.maintenance"]
 
 
-def test_reading_with_what_was_read_before_changes_nothing_but_the_time() -> None:
+def test_reusing_previous_document_gives_same_result() -> None:
     first = read_document(DOCUMENT, 1, "ordinary")
     assert isinstance(first, Configuration)
     changed = deepcopy(DOCUMENT)
@@ -131,11 +133,11 @@
 
 
 @pytest.mark.parametrize("value", [True, 0.0, "0"])
-def test_an_entry_that_only_looks_equal_is_read_anew(value: object) -> None:
-    """A publication writes a tier as 0.0 or true, which Python holds for equal to 0 or 1.
+def test_entry_that_only_compares_equal_is_read_again(value: object) -> None:
+    """Guards against reusing an entry whose new value compares equal but has another type.
 
-    A process that read the entry before must refuse it just as one that starts afresh does, or the
-    two would have different configurations in force.
+    In Python 0.0 and True are equal to 0 and 1. A process with the previous document must reject
+    the new one like a fresh process does. Otherwise they have different configurations in force.
     """
     first = read_document(DOCUMENT, 1, "ordinary")
     assert isinstance(first, Configuration)
@@ -157,10 +159,13 @@
         ("classes", "order", None),
     ],
 )
-def test_an_unchanged_account_that_became_faulty_is_told(table: str, name: str, entry: Any) -> None:
-    """An account stays as it was while its class is removed, or another account gets its key.
+def test_unchanged_account_that_became_invalid_is_reported(
+    table: str, name: str, entry: Any
+) -> None:
+    """Guards against missing the faults of an account that was reused without changes.
 
-    It is then faulty without a change of its own, and must be told as a fresh reader tells it.
+    The account becomes invalid because its class is removed or another account gets its key. The
+    result must be the same as for a fresh reader.
     """
     first = read_document(DOCUMENT, 1, "ordinary")
     assert isinstance(first, Configuration)
--- a/packages/ragwortwing-policy/tests/test_configuration_log.py
+++ b/packages/ragwortwing-policy/tests/test_configuration_log.py
@@ -1,4 +1,4 @@
-"""Any reader of the configuration stream comes to one state, and never goes back to an older."""
+"""Tests that all readers of the configuration stream reach the same state and never go back."""
 
 from __future__ import annotations
 
@@ -46,10 +46,11 @@
     return states
 
 
-def test_of_two_racing_operators_one_wins_and_the_other_is_told_what_is_in_force() -> None:
-    """Two operators read revision 0; one opens the peak preset, one publishes a new tier.
+def test_second_of_two_racing_operators_gets_conflict() -> None:
+    """Guards against a lost update between two operators who both start from revision 0.
 
-    Both appends succeed. Without the compare-and-set, the second would silently undo the first.
+    Both appends succeed. Without the comparison of revisions, the publication would silently undo
+    the preset switch.
     """
     *_, state = fold([publication(NO_REVISION), PresetSwitch("a", 0, "peak")])
     step = apply(state, RawRecord(2, encode_entry(publication(0, tier=5))))
@@ -57,7 +58,8 @@
     assert step.state.configuration == state.configuration
 
 
-def test_records_that_cannot_take_effect_change_nothing() -> None:
+def test_invalid_records_change_nothing() -> None:
+    """Guards against invalid or undecodable records replacing the configuration in force."""
     *_, state = fold([publication(NO_REVISION)])
     for entry in (PresetSwitch("a", 0, "nope"), publication(0, tier=99), publication(0, "nope")):
         step = apply(state, RawRecord(1, encode_entry(entry)))
@@ -71,7 +73,7 @@
 
 @st.composite
 def streams(draw: st.DrawFn) -> list[Entry]:
-    """Draw a stream as racing operators and processes that write checkpoints would append it."""
+    """Generate a stream with records of racing operators and of checkpoint writers."""
     states = [FoldState()]
     entries: list[Entry] = []
     for offset in range(draw(st.integers(1, 14))):
@@ -94,7 +96,7 @@
 
 @DETERMINISTIC
 @given(streams())
-def test_revisions_rise_and_a_base_has_one_successor(entries: list[Entry]) -> None:
+def test_revisions_increase_and_a_base_has_one_successor(entries: list[Entry]) -> None:
     state = FoldState()
     winners: set[int | None] = set()
     for offset, entry in enumerate(entries):
@@ -112,7 +114,7 @@
 
 @DETERMINISTIC
 @given(streams(), st.integers(0, 14), st.integers(0, 14))
-def test_a_reader_behind_a_gap_never_differs_once_it_knows(
+def test_reader_with_complete_state_after_a_gap_agrees_with_full_reader(
     entries: list[Entry], read: int, first: int
 ) -> None:
     whole = fold(entries)
@@ -120,7 +122,7 @@
     state = whole[read]
     newest = state.revision
     for offset in range(max(first, read), len(entries)):
-        # A record that comes twice, from a peer and from the log, is harmless.
+        # Each record is applied twice, as it may arrive from a peer and from the log.
         for _ in range(2):
             state = apply(state, RawRecord(offset, encode_entry(entries[offset]))).state
         assert state.revision >= newest
@@ -129,11 +131,11 @@
             assert state.configuration == whole[offset + 1].configuration
 
 
-def test_a_fresh_reader_starts_from_a_checkpoint_that_was_written_late() -> None:
-    """A process writes a checkpoint while an operator's switch is on its way.
+def test_fresh_reader_starts_from_late_checkpoint() -> None:
+    """Guards against missing a preset switch that is appended while a checkpoint is written.
 
-    The switch takes the offset before the checkpoint, which does not hold it. A reader that starts
-    at the switch must still come to the preset that is in force everywhere else.
+    The switch gets the offset before the checkpoint, which does not include it. A reader that
+    starts at the switch must still reach the same preset as all other readers.
     """
     states = fold([publication(NO_REVISION)])
     checkpoint = checkpoint_of(states[-1], "c", 0.0)
@@ -146,10 +148,11 @@
     assert (state.revision, state.preset) == (1, "peak")
 
 
-def test_an_old_checkpoint_never_reverts_a_newer_state() -> None:
-    """A process whose reads were held up for hours writes the state it had then.
+def test_old_checkpoint_does_not_revert_newer_state() -> None:
+    """Guards against going back to the state of an outdated checkpoint.
 
-    A reader behind a gap, which already had a newer revision in force, must not go back to it.
+    A process whose reads were delayed for hours writes its outdated state. A reader with a newer
+    revision must not take it after a gap.
     """
     *_, state = fold([publication(NO_REVISION), PresetSwitch("a", 0, "peak")])
     old = Checkpoint("c", 5, 0, "ordinary", document())
@@ -157,11 +160,11 @@
     assert (after.revision, after.preset, after.complete) == (1, "peak", False)
 
 
-def test_a_record_that_comes_again_never_reverts_a_newer_state() -> None:
-    """A peer sends the records from the start, with a publication that needs no base among them.
+def test_repeated_record_does_not_revert_newer_state() -> None:
+    """Guards against applying an unconditional publication a second time.
 
-    The process has long had a newer revision in force; taking the old one again would put a preset
-    back that an operator has left.
+    A peer resends the records from the start of the stream. Applying the old publication again
+    would undo a later preset switch.
     """
     first = publication(UNCONDITIONAL)
     *_, state = fold([first, PresetSwitch("a", 0, "peak")])
--- a/packages/ragwortwing-policy/tests/test_dispatch.py
+++ b/packages/ragwortwing-policy/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""One request at an entry, event by event."""
+"""Tests of the state machine of one request at an entry."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from ragwortwing_policy.retries import RESUME_WINDOW, RetryBudget, RetrySettings
 from ragwortwing_policy.routing import HEAD_START, AgentView, BackendKind, RouteQuery, Router
 
-LATE = NotRun(NotRunReason.OVERLOADED, timedelta(seconds=3))
-SOON = NotRun(NotRunReason.DRAINING, timedelta(seconds=1))
+OVERLOADED_REFUSAL = NotRun(NotRunReason.OVERLOADED, timedelta(seconds=3))
+DRAINING_REFUSAL = NotRun(NotRunReason.DRAINING, timedelta(seconds=1))
 FULL = LoadReport(16, 4, 16, timedelta(seconds=1))
 
 
@@ -61,14 +61,14 @@
     return conclusion.outcome
 
 
-def run_at_first(request: Dispatch) -> str:
-    """Have the first agent asked grant the slot and return its id."""
+def start_run(request: Dispatch) -> str:
+    """Let the first asked agent grant a slot, and return its id."""
     first = asked(request.on_start(0.0))[0]
     assert SendBody(first) in request.on_granted(first, 0.1)
     return first
 
 
-def test_first_grant_gets_the_body_and_the_others_are_withdrawn() -> None:
+def test_body_is_sent_to_first_grant_and_others_are_withdrawn() -> None:
     request = dispatch(4)
     first, second = asked(request.on_start(0.0))
     assert request.on_granted(second, 0.1) == [SendBody(second), WithdrawFrom(first)]
@@ -77,7 +77,7 @@
     assert request.wake_at is None
 
 
-def test_an_agent_with_a_free_slot_is_asked_a_moment_before_the_others() -> None:
+def test_agent_with_free_slot_is_asked_before_the_others() -> None:
     idle = router(3, LoadReport(0, 0, 16, timedelta(0)))
     request = Dispatch(RouteQuery("r", "m", BackendKind.ENGINE), idle, RetryBudget(), 10.0)
     first = asked(request.on_start(0.0))
@@ -87,29 +87,30 @@
     assert first != second
 
 
-def test_all_refuse_then_the_best_reason_and_the_earliest_time_are_told_at_once() -> None:
+def test_best_reason_and_shortest_delay_are_returned_if_all_refuse() -> None:
     request = dispatch(3)
     first, second = asked(request.on_start(0.0))
-    assert request.on_refused(first, LATE, 0.1) == []
-    (third,) = asked(request.on_refused(second, SOON, 0.1))
-    decisions = request.on_refused(third, SOON, 0.1)
+    assert request.on_refused(first, OVERLOADED_REFUSAL, 0.1) == []
+    (third,) = asked(request.on_refused(second, DRAINING_REFUSAL, 0.1))
+    decisions = request.on_refused(third, DRAINING_REFUSAL, 0.1)
     assert outcome(decisions) == NotRun(NotRunReason.OVERLOADED, timedelta(seconds=1))
 
 
-def test_no_agent_is_told_at_once() -> None:
-    told = outcome(dispatch(0).on_start(0.0))
-    assert isinstance(told, NotRun)
-    assert told.reason is NotRunReason.NO_BACKEND
+def test_missing_agents_are_reported_immediately() -> None:
+    conclusion_outcome = outcome(dispatch(0).on_start(0.0))
+    assert isinstance(conclusion_outcome, NotRun)
+    assert conclusion_outcome.reason is NotRunReason.NO_BACKEND
 
 
-def test_a_reason_that_lies_in_the_request_ends_it() -> None:
+def test_final_refusal_ends_request() -> None:
+    """Guards against asking other agents after a refusal caused by the request itself."""
     request = dispatch(3)
     first, second = asked(request.on_start(0.0))
     refusal = NotRun(NotRunReason.KEY_REUSED)
     assert request.on_refused(first, refusal, 0.1) == [WithdrawFrom(second), Conclude(refusal)]
 
 
-def test_the_deadline_passes_before_any_grant() -> None:
+def test_deadline_without_grant_is_reported_as_not_run() -> None:
     request = dispatch(2)
     request.on_start(0.0)
     now, decisions = 0.0, list[DispatchDecision]()
@@ -121,11 +122,11 @@
     assert outcome(decisions) == NotRun(NotRunReason.DEADLINE)
 
 
-def test_a_request_that_waits_is_asked_for_where_a_slot_should_be_free() -> None:
-    """A buyer's chat waits at two engines full of chat while a third runs only menu drafts.
+def test_waiting_request_asks_agent_with_low_predicted_wait() -> None:
+    """Guards against waiting at full engines while another engine would free a slot at once.
 
-    The third would make room at once, so it is asked too before the two give up; a fourth engine
-    that is as full as the first two is not.
+    The request waits at two engines that are full of chats. A third engine runs only preemptible
+    drafts and must be asked too, but not a fourth one that is as full as the first two.
     """
     free, full = LoadReport(16, 0, 16, timedelta(0)), FULL
     routing = router(4)
@@ -138,131 +139,140 @@
     assert request.on_tick(WIDEN_AFTER.total_seconds()) == [Ask(others[0])]
 
 
-def test_an_agent_lost_before_the_submit_is_replaced() -> None:
+def test_agent_lost_before_submit_is_replaced() -> None:
+    """Guards against waiting for agents that were lost before they granted a slot."""
     request = dispatch(3)
     first, second = asked(request.on_start(0.0))
     assert request.on_agent_lost(first, 0.1) == []
     assert len(asked(request.on_agent_lost(second, 0.1))) == 1
 
 
-def test_an_order_lost_after_the_submit_is_unknown_and_never_sent_again() -> None:
-    """A baker's order was sent to the desk and the desk's VM died.
+def test_order_lost_after_submit_is_unknown_and_not_repeated() -> None:
+    """Guards against running an order twice after its VM was lost.
 
-    The entry must not send it elsewhere, for two cakes would be baked; and it must not say that
-    the order was not run, for the desk may have run it.
+    The order may have run. The entry must neither send it to another agent nor report it as not
+    run.
     """
     request = dispatch(3, idempotent=False, kind=BackendKind.SERVICE)
-    lost = run_at_first(request)
-    assert request.on_agent_lost(lost, 1.0) == [Conclude(Unknown(UnknownReason.BACKEND_LOST))]
+    lost_agent = start_run(request)
+    assert request.on_agent_lost(lost_agent, 1.0) == [Conclude(Unknown(UnknownReason.BACKEND_LOST))]
 
 
-def test_an_order_that_gets_no_answer_by_its_deadline_is_unknown() -> None:
+def test_order_without_answer_by_its_deadline_is_unknown() -> None:
+    """Guards against reporting an order as not run or failed although it may have run."""
     request = dispatch(3, idempotent=False, kind=BackendKind.SERVICE)
-    run_at_first(request)
+    start_run(request)
     assert request.on_tick(10.0) == [Conclude(Unknown(UnknownReason.TIMEOUT))]
 
 
-def test_an_idempotent_call_is_run_again_from_the_budget() -> None:
+def test_idempotent_call_is_retried_within_budget() -> None:
     request = dispatch(3)
-    lost = run_at_first(request)
-    again = asked(request.on_agent_lost(lost, 1.0))
-    assert len(again) == 2
-    assert lost not in again
+    lost_agent = start_run(request)
+    asked_again = asked(request.on_agent_lost(lost_agent, 1.0))
+    assert len(asked_again) == 2
+    assert lost_agent not in asked_again
 
 
-def test_an_empty_budget_forbids_the_second_run() -> None:
+def test_exhausted_budget_prevents_retry() -> None:
+    """Guards against retries beyond the budget of the entry."""
     request = dispatch(3, budget=RetryBudget(RetrySettings(floor=0.0)))
-    lost = run_at_first(request)
-    assert outcome(request.on_agent_lost(lost, 1.0)) == Unknown(UnknownReason.BACKEND_LOST)
+    lost_agent = start_run(request)
+    assert outcome(request.on_agent_lost(lost_agent, 1.0)) == Unknown(UnknownReason.BACKEND_LOST)
 
 
-def test_a_stream_is_resumed_elsewhere_and_outlives_a_moment_without_slots() -> None:
-    """A fund's narrative stops in mid-sentence because its engine crashed.
+def test_stream_is_resumed_although_other_engines_are_briefly_full() -> None:
+    """Guards against ending an interrupted answer because all other engines are briefly full.
 
-    The other engines are full for a moment and refuse. The entry asks again, and the caller gets
-    the rest of the text from another engine.
+    The engine crashes mid-answer and the other engines refuse at first. The entry must ask again
+    and resume the answer on another engine.
     """
     request = dispatch(3)
-    lost = run_at_first(request)
-    request.on_progress(lost, 40, 0.5)
-    for refusing in asked(request.on_agent_lost(lost, 30.0)):
-        assert not any(isinstance(x, Conclude) for x in request.on_refused(refusing, LATE, 30.0))
+    lost_agent = start_run(request)
+    request.on_progress(lost_agent, 40, 0.5)
+    for refusing in asked(request.on_agent_lost(lost_agent, 30.0)):
+        assert not any(
+            isinstance(x, Conclude) for x in request.on_refused(refusing, OVERLOADED_REFUSAL, 30.0)
+        )
     assert request.wake_at is not None
     first, *_ = asked(request.on_tick(request.wake_at))
     assert SendBody(first, resumed=True) in request.on_granted(first, 31.0)
-    assert first != lost
+    assert first != lost_agent
 
 
-def test_a_resume_that_finds_no_slot_in_time_has_failed_and_is_not_called_not_run() -> None:
+def test_resume_without_slot_in_time_fails() -> None:
+    """Guards against reporting a request as not run after part of its answer was delivered."""
     request = dispatch(1)
-    lost = run_at_first(request)
-    request.on_progress(lost, 40, 0.5)
-    request.on_agent_lost(lost, 1.0)
-    told = outcome(request.on_tick(1.0 + RESUME_WINDOW.total_seconds()))
-    assert told == Failed(FailedReason.BACKEND_LOST)
+    lost_agent = start_run(request)
+    request.on_progress(lost_agent, 40, 0.5)
+    request.on_agent_lost(lost_agent, 1.0)
+    conclusion_outcome = outcome(request.on_tick(1.0 + RESUME_WINDOW.total_seconds()))
+    assert conclusion_outcome == Failed(FailedReason.BACKEND_LOST)
 
 
-def test_a_body_that_came_after_its_grant_expired_goes_elsewhere() -> None:
+def test_body_refused_after_expired_grant_goes_to_another_agent() -> None:
+    """Guards against losing a request whose body arrived after its grant had expired."""
     request = dispatch(3)
-    late = run_at_first(request)
-    again = asked(request.on_refused(late, SOON, 0.5))
-    assert again
-    assert late not in again
+    late_agent = start_run(request)
+    asked_again = asked(request.on_refused(late_agent, DRAINING_REFUSAL, 0.5))
+    assert asked_again
+    assert late_agent not in asked_again
 
 
-def test_an_agents_reason_after_the_submit_is_told_where_no_other_agent_is_left() -> None:
-    """An order's claim fails at every agent because the log is down.
+def test_refusal_after_submit_is_returned_if_no_agent_is_left() -> None:
+    """Guards against reporting a missing backend server when the log is unavailable.
 
-    The caller is to hear that, not that no backend server was there: the last agent's word counts.
+    The order's claim fails at the only agent because the log is down. The caller must get this
+    reason.
     """
     request = dispatch(1, idempotent=False, kind=BackendKind.SERVICE)
-    agent = run_at_first(request)
+    agent = start_run(request)
     log_down = NotRun(NotRunReason.LOG_UNAVAILABLE, timedelta(seconds=2))
     assert outcome(request.on_ended(agent, log_down, 0.2)) == log_down
 
 
-def test_a_reason_that_lies_in_the_request_ends_it_after_the_submit_too() -> None:
-    """An order's key was used with another body, which its agent finds when it claims the key.
+def test_final_refusal_after_submit_ends_request() -> None:
+    """Guards against asking other agents after a refusal that every agent would repeat.
 
-    Every other agent would find the same, so the caller is told at once and no other is asked.
+    The agent finds that the order's key was used with another body when it claims the key. The
+    request must end with this reason immediately.
     """
     request = dispatch(3, idempotent=False, kind=BackendKind.SERVICE)
-    agent = run_at_first(request)
+    agent = start_run(request)
     reused = NotRun(NotRunReason.KEY_REUSED)
     assert request.on_ended(agent, reused, 0.2) == [Conclude(reused)]
 
 
-def test_a_caller_who_leaves_cancels_a_stream_but_not_an_order() -> None:
+def test_caller_disconnect_cancels_stream_but_not_order() -> None:
     stream = dispatch(2)
-    runner = run_at_first(stream)
+    runner = start_run(stream)
     assert WithdrawFrom(runner) in stream.on_caller_gone(1.0)
     order = dispatch(2, idempotent=False, kind=BackendKind.SERVICE)
-    run_at_first(order)
+    start_run(order)
     assert order.on_caller_gone(1.0) == [Conclude(Unknown(UnknownReason.TIMEOUT))]
 
 
-def test_an_answer_leaves_a_silent_engine() -> None:
-    """A buyer's reply freezes in mid-word while the connection lives on.
+def test_answer_moves_away_from_silent_engine() -> None:
+    """Guards against an answer hanging on a frozen engine whose connection stays open.
 
-    The engine gave nothing to anyone for seconds, so the router ejects it, and the reply goes on
-    at another engine.
+    The engine sends no tokens for seconds, so the router ejects it. The answer must move to another
+    engine.
     """
     request = dispatch(4)
-    frozen = run_at_first(request)
-    request.on_progress(frozen, 4, 0.5)
+    frozen_agent = start_run(request)
+    request.on_progress(frozen_agent, 4, 0.5)
     decisions: list[DispatchDecision] = []
     while not decisions:
         assert request.wake_at is not None
         assert request.wake_at < 10.0
         decisions = request.on_tick(request.wake_at)
-    assert decisions[0] == WithdrawFrom(frozen)
+    assert decisions[0] == WithdrawFrom(frozen_agent)
     assert asked(decisions)
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_every_request_ends_once(idempotent: bool) -> None:
+def test_request_ends_exactly_once(idempotent: bool) -> None:
     request = dispatch(3, idempotent=idempotent)
-    runner = run_at_first(request)
+    runner = start_run(request)
     assert len(request.on_ended(runner, Completed(1), 1.0)) == 1
     assert request.on_ended(runner, Completed(1), 1.0) == []
     assert request.on_caller_gone(1.0) == []
--- a/packages/ragwortwing-policy/tests/test_ejection.py
+++ b/packages/ragwortwing-policy/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection by latency against peers and by silence, and the return by probes."""
+"""Tests of the ejection of slow and silent agents, and of their recovery by probes."""
 
 from __future__ import annotations
 
@@ -18,72 +18,74 @@
     return result
 
 
-def observe(watched: OutlierDetector, factors: dict[str, float], now: float) -> None:
-    """Give every agent enough between-token times, each its factor of the usual."""
+def observe_all(tracker: OutlierDetector, factors: dict[str, float], now: float) -> None:
+    """Record enough between-token times for every agent, scaled by its factor."""
     for _ in range(SETTINGS.minimum_samples + 1):
         for agent_id in POOL:
-            watched.observe(agent_id, None, USUAL * factors.get(agent_id, 1.0), POOL, now)
+            tracker.observe(agent_id, None, USUAL * factors.get(agent_id, 1.0), POOL, now)
 
 
-def ejected(watched: OutlierDetector, now: float) -> list[str]:
-    return [each for each in POOL if watched.is_ejected(each, POOL, now)]
+def ejected(tracker: OutlierDetector, now: float) -> list[str]:
+    return [each for each in POOL if tracker.is_ejected(each, POOL, now)]
 
 
-def test_an_engine_at_a_tenth_is_ejected_and_unequal_ones_are_not() -> None:
-    """Answers from one engine crawl while its own report says that it is well.
+def test_engine_at_a_tenth_of_its_speed_is_ejected() -> None:
+    """Guards against keeping an engine that runs at a tenth of its speed but reports no problem.
 
-    Its between-token time against the peers' median shows it; engines of 0.4 to 1.6 of the usual
-    speed stay.
+    Its between-token time is compared with the median of its peers. Engines at 0.4 to 1.6 of the
+    usual speed must not be ejected.
     """
-    watched = detector()
-    observe(watched, {"a0": 10.0, "a1": 2.5, "a2": 0.6}, 1.0)
-    assert ejected(watched, 1.0) == ["a0"]
+    tracker = detector()
+    observe_all(tracker, {"a0": 10.0, "a1": 2.5, "a2": 0.6}, 1.0)
+    assert ejected(tracker, 1.0) == ["a0"]
 
 
-def test_a_slow_first_token_ejects_only_with_an_excess() -> None:
-    watched = detector()
+def test_slow_first_token_ejects_only_above_minimum_excess() -> None:
+    tracker = detector()
     for _ in range(SETTINGS.minimum_samples + 1):
         for agent_id in POOL:
             seconds = {"a0": 2.0, "a1": 0.5}.get(agent_id, 0.05)
-            watched.observe(agent_id, timedelta(seconds=seconds), None, POOL, 1.0)
-    assert ejected(watched, 1.0) == ["a0"]
+            tracker.observe(agent_id, timedelta(seconds=seconds), None, POOL, 1.0)
+    assert ejected(tracker, 1.0) == ["a0"]
 
 
-def test_no_more_than_a_share_of_the_pool_is_ejected() -> None:
-    watched = detector()
-    observe(watched, dict.fromkeys(POOL[:3], 20.0), 1.0)
-    assert len(ejected(watched, 1.0)) <= 2
+def test_ejected_share_of_pool_is_limited() -> None:
+    """Guards against ejecting most of a pool and overloading the remaining agents."""
+    tracker = detector()
+    observe_all(tracker, dict.fromkeys(POOL[:3], 20.0), 1.0)
+    assert len(ejected(tracker, 1.0)) <= 2
     frozen = detector()
     for agent_id in POOL:
         frozen.submitted(agent_id, 0.0)
     assert len(ejected(frozen, 60.0)) == 2
 
 
-def test_silence_counts_only_while_something_runs() -> None:
-    watched = detector()
-    watched.submitted("a0", 0.0)
-    watched.submitted("a1", 0.0)
-    watched.released("a1", 1.0)
-    watched.progressed("a0", 2.0)
+def test_silence_counts_only_while_requests_run() -> None:
+    """Guards against ejecting an idle agent for being silent."""
+    tracker = detector()
+    tracker.submitted("a0", 0.0)
+    tracker.submitted("a1", 0.0)
+    tracker.released("a1", 1.0)
+    tracker.progressed("a0", 2.0)
     silence = SETTINGS.silence.total_seconds()
-    assert ejected(watched, silence) == []
-    assert ejected(watched, 2.0 + silence) == ["a0"]
+    assert ejected(tracker, silence) == []
+    assert ejected(tracker, 2.0 + silence) == ["a0"]
 
 
-def test_probes_bring_an_agent_back_or_keep_it_out_for_longer() -> None:
-    watched = detector()
-    observe(watched, {"a0": 10.0}, 0.0)
+def test_probes_close_circuit_or_extend_ejection() -> None:
+    tracker = detector()
+    observe_all(tracker, {"a0": 10.0}, 0.0)
     first = SETTINGS.first_ejection.total_seconds()
-    assert watched.state("a0", POOL, first) == "half_open"
-    assert watched.wants_probe("a0", urgent=False, now=first)
-    assert not watched.wants_probe("a0", urgent=True, now=first)
-    spared = first + SETTINGS.urgent_probe_after.total_seconds()
-    assert watched.wants_probe("a0", urgent=True, now=spared)
-    watched.probe_sent("a0", first)
-    assert not watched.wants_probe("a0", urgent=False, now=first)
-    watched.observe("a0", None, USUAL * 10, POOL, first)
-    assert watched.state("a0", POOL, first * 2) == "open"
-    assert watched.state("a0", POOL, first * 3) == "half_open"
+    assert tracker.state("a0", POOL, first) == "half_open"
+    assert tracker.wants_probe("a0", urgent=False, now=first)
+    assert not tracker.wants_probe("a0", urgent=True, now=first)
+    urgent_probe_at = first + SETTINGS.urgent_probe_after.total_seconds()
+    assert tracker.wants_probe("a0", urgent=True, now=urgent_probe_at)
+    tracker.probe_sent("a0", first)
+    assert not tracker.wants_probe("a0", urgent=False, now=first)
+    tracker.observe("a0", None, USUAL * 10, POOL, first)
+    assert tracker.state("a0", POOL, first * 2) == "open"
+    assert tracker.state("a0", POOL, first * 3) == "half_open"
     for _ in range(SETTINGS.probes):
-        watched.observe("a0", None, USUAL, POOL, first * 3)
-    assert watched.state("a0", POOL, first * 3) == "closed"
+        tracker.observe("a0", None, USUAL, POOL, first * 3)
+    assert tracker.state("a0", POOL, first * 3) == "closed"
--- a/packages/ragwortwing-policy/tests/test_engine_orders.py
+++ b/packages/ragwortwing-policy/tests/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Engine orders set a state, stop for a replaced agent, and heal an engine that checks nothing."""
+"""Tests of engine orders: repetition, fencing of replaced agents, and engines without fencing."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 LOAD = EngineOrder(EngineOrderKind.LOAD_MODEL, "menu", "2", 7)
 
 
-class UncheckedEngine:
-    """An engine that takes every order, whatever its number."""
+class EngineWithoutFencing:
+    """An engine that accepts every order and ignores fencing numbers."""
 
     def __init__(self) -> None:
         self.versions_by_model: dict[str, str] = {}
@@ -41,52 +41,53 @@
     assert kinds == ["change_role", "load_model", "load_adapter"]
 
 
-def test_an_order_is_given_once_until_it_is_reasserted() -> None:
-    chooser = orders()
-    assert chooser.due(DESIRED, None, 0.0) == (LOAD,)
-    chooser.failed(LOAD, 0.0)
-    assert chooser.due(DESIRED, None, 1.9) == ()
-    assert chooser.due(DESIRED, None, 2.0) == (LOAD,)
-    chooser.taken(LOAD, 2.0)
-    assert chooser.due(DESIRED, None, 31.9) == ()
-    assert chooser.due(DESIRED, None, 32.0) == (LOAD,)
+def test_order_is_repeated_at_intervals() -> None:
+    engine_orders = orders()
+    assert engine_orders.due(DESIRED, None, 0.0) == (LOAD,)
+    engine_orders.failed(LOAD, 0.0)
+    assert engine_orders.due(DESIRED, None, 1.9) == ()
+    assert engine_orders.due(DESIRED, None, 2.0) == (LOAD,)
+    engine_orders.taken(LOAD, 2.0)
+    assert engine_orders.due(DESIRED, None, 31.9) == ()
+    assert engine_orders.due(DESIRED, None, 32.0) == (LOAD,)
 
 
-def test_a_report_spares_orders_and_shows_what_is_missing() -> None:
-    chooser = orders()
-    assert chooser.due(DESIRED, ReportedEngine({"menu": "2"}), 0.0) == ()
+def test_reported_state_determines_due_orders() -> None:
+    engine_orders = orders()
+    assert engine_orders.due(DESIRED, ReportedEngine({"menu": "2"}), 0.0) == ()
     stale = ReportedEngine({"menu": "1"})
-    assert chooser.due(DESIRED, stale, 0.0) == (LOAD,)
-    chooser.failed(LOAD, 0.0)
-    assert chooser.due(DESIRED, stale, 1.9) == ()
-    chooser.taken(LOAD, 0.0)
-    assert chooser.due(DESIRED, stale, 1.0) == ()
-    assert chooser.due(DESIRED, stale, 2.0) == (LOAD,)
+    assert engine_orders.due(DESIRED, stale, 0.0) == (LOAD,)
+    engine_orders.failed(LOAD, 0.0)
+    assert engine_orders.due(DESIRED, stale, 1.9) == ()
+    engine_orders.taken(LOAD, 0.0)
+    assert engine_orders.due(DESIRED, stale, 1.0) == ()
+    assert engine_orders.due(DESIRED, stale, 2.0) == (LOAD,)
 
 
-def test_a_replaced_agent_gives_no_order_any_more() -> None:
-    """An agent is stopped, another takes its place, and the first one goes on.
+def test_replaced_agent_sends_no_more_orders() -> None:
+    """Guards against a replaced agent that resumes and keeps sending orders.
 
-    Its order carries the older number and is refused; from then on it must stay silent.
+    Its order carries an older fencing number and is refused. It must not send any further orders.
     """
-    chooser = orders(7)
-    assert chooser.refused(7) is None
-    assert chooser.refused(9) == Superseded(9)
-    assert chooser.due(DESIRED, None, 100.0) == ()
+    engine_orders = orders(7)
+    assert engine_orders.refused(7) is None
+    assert engine_orders.refused(9) == Superseded(9)
+    assert engine_orders.due(DESIRED, None, 100.0) == ()
 
 
-def test_an_engine_that_ignores_the_number_is_set_right_again() -> None:
-    """A replaced agent goes on after a pause and orders the version it knew; the engine obeys.
+def test_engine_without_fencing_is_corrected() -> None:
+    """Guards against an engine staying on the state that a replaced agent ordered.
 
-    Callers get answers of the old version until the present agent gives its orders again.
+    The engine ignores fencing numbers and loads the old version. The current agent must restore the
+    desired version when it repeats its orders.
     """
-    engine, present, replaced = UncheckedEngine(), orders(9), orders(7)
-    for order in present.due(DESIRED, None, 0.0):
+    engine, current, replaced = EngineWithoutFencing(), orders(9), orders(7)
+    for order in current.due(DESIRED, None, 0.0):
         engine.take(order)
-        present.taken(order, 0.0)
+        current.taken(order, 0.0)
     for order in replaced.due(DesiredEngine({"menu": "1"}), None, 5.0):
         engine.take(order)
     assert engine.versions_by_model == {"menu": "1"}
-    for order in present.due(DESIRED, None, 30.0):
+    for order in current.due(DESIRED, None, 30.0):
         engine.take(order)
     assert engine.versions_by_model == {"menu": "2"}
--- a/packages/ragwortwing-policy/tests/test_membership.py
+++ b/packages/ragwortwing-policy/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The list seeds and takes work away, the connection decides, and no agent is taken for another."""
+"""Tests of how the platform's list, connections and leaving announcements set agent states."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return membership
 
 
-def test_a_listed_agent_serves_only_while_it_is_connected() -> None:
+def test_listed_agent_serves_only_while_connected() -> None:
     membership = Membership()
     assert membership.set_list([LIVE]) == ()
     assert membership.addresses == {ADDRESS}
@@ -33,6 +33,7 @@
 
 
 def test_either_word_ends_new_work_at_once() -> None:
+    """Guards against new work at an agent that is leaving, by list, announcement or removal."""
     by_list, by_agent, by_removal = serving(), serving(), serving()
     by_list.set_list([LEAVING])
     by_agent.said_leaving("agent-1/a")
@@ -47,10 +48,11 @@
         assert membership.takes_new_work("agent-1/a") is comes_back
 
 
-def test_only_the_list_takes_its_word_back() -> None:
-    """The list drops a live agent by mistake and names it again a few seconds later.
+def test_only_list_removal_can_be_reversed() -> None:
+    """Guards against losing an agent's capacity after the list dropped it by mistake.
 
-    Without the way back, the site would lose the agent's capacity until somebody restarts it.
+    The list contains the agent again a few seconds later. Without a way back, the agent would stay
+    unused until it is restarted.
     """
     membership = serving()
     membership.set_list([])
@@ -61,10 +63,11 @@
     assert not membership.takes_new_work("agent-1/a")
 
 
-def test_a_replaced_agent_at_the_same_address_is_another_one() -> None:
-    """A VM is replaced within a second and its successor gets the same address.
+def test_replacement_at_same_address_is_a_different_agent() -> None:
+    """Guards against mistaking a replacement at the same address for the old agent.
 
-    Taken for the old agent, it would be asked to go on with streams that it never had.
+    The VM is replaced within a second. The new agent would be asked to continue streams that it
+    never had.
     """
     membership = serving()
     changes = membership.connected(ADDRESS, "agent-1/b")
@@ -84,11 +87,11 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.lists(EVENTS, max_size=30))
-def test_a_leaver_stays_gone_and_new_work_needs_every_word(events: list[tuple]) -> None:  # type: ignore[type-arg]
+def test_left_agent_stays_gone_and_only_live_agents_get_work(events: list[tuple]) -> None:  # type: ignore[type-arg]
     membership = Membership()
     final: set[str] = set()
     live: set[str] = set()
-    words: set[str] = set()
+    announced: set[str] = set()
     connected: dict[str, str] = {}
     for kind, *values in events:
         if kind == "list":
@@ -105,10 +108,10 @@
         else:
             agent_id = f"id{values[0]}-0"
             if connected.get("a0") == agent_id:
-                words.add(agent_id)
+                announced.add(agent_id)
             changes = membership.said_leaving(agent_id)
         ends = {each.agent_id for each in changes if each.state is MemberState.GONE}
-        final |= {each for each in ends if each in words or kind == "connect"}
+        final |= {each for each in ends if each in announced or kind == "connect"}
         assert live <= membership.addresses
         for address in ("a0", "a1"):
             for number in range(4):
@@ -118,4 +121,4 @@
                 if membership.takes_new_work(agent_id):
                     assert connected.get(address) == agent_id
                     assert address in live
-                    assert agent_id not in words
+                    assert agent_id not in announced
--- a/packages/ragwortwing-policy/tests/test_order_claims.py
+++ b/packages/ragwortwing-policy/tests/test_order_claims.py
@@ -1,4 +1,4 @@
-"""Whatever the interleaving of claims, losses and repeats, one holder may send a key's order."""
+"""Tests that only one holder may send the order of a key, whatever the order of events."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return encode_batch(ClaimBatch("desk-1", 0.0, (), (settlement,)))
 
 
-def test_verdicts() -> None:
+def test_claim_verdicts() -> None:
     ledger = OrderLedger()
     first, repeat = Claim("a", KEY, b"d"), Claim("b", KEY, b"d")
     ledger.apply(0, batch(first, repeat))
@@ -57,13 +57,14 @@
     )
     ledger.apply(1, settled)
     assert ledger.judge(repeat) == AlreadySettled(RecordedAnswer(Completed(), 201, b"x"))
-    # A release that comes after the outcome, or from a claim that lost, opens nothing.
+    # A release after the outcome, or by a losing claim, does not release the key.
     ledger.apply(2, release("a"))
     ledger.apply(3, release("b"))
     assert isinstance(ledger.judge(repeat), AlreadySettled)
 
 
-def test_only_the_winner_can_release_its_key() -> None:
+def test_only_the_winner_can_release_a_key() -> None:
+    """Guards against a second run after a losing claim released the key."""
     ledger = OrderLedger()
     ledger.apply(0, batch(Claim("a", KEY, b"d")))
     ledger.apply(1, release("b"))
@@ -72,11 +73,11 @@
     assert ledger.judge(Claim("a", KEY, b"d")) is None
 
 
-def test_admission_looks_at_the_newest_time_in_the_log() -> None:
-    """A VM's clock is a day behind, and a family's app repeats yesterday's order through it.
+def test_admission_uses_newest_time_in_log() -> None:
+    """Guards against running an old order again on a VM whose clock is a day behind.
 
-    The claim of yesterday has run out of the log. By the slow clock the order's time is young; the
-    time that other holders wrote into the log shows that it is not.
+    The first claim has expired from the log, and the order time looks recent to the slow clock. The
+    times that other holders wrote to the log show that it is not.
     """
     ledger = OrderLedger(window=timedelta(hours=6))
     yesterday = (NOW - timedelta(hours=20)).timestamp()
@@ -86,7 +87,7 @@
     assert refused == NotRun(NotRunReason.KEY_OUT_OF_WINDOW)
 
 
-def test_state_is_bounded_by_the_log_and_by_the_key_limit() -> None:
+def test_ledger_is_bounded_by_log_and_key_limit() -> None:
     ledger = OrderLedger(key_limit=2)
     for offset in range(2):
         ledger.apply(offset, batch(Claim(f"c{offset}", OrderKey("a", f"k{offset}"), b"d")))
@@ -103,27 +104,27 @@
     st.lists(st.tuples(st.integers(0, 5), st.booleans()), min_size=1, max_size=25),
     st.integers(0, 25),
 )
-def test_any_log_order_gives_one_winner_until_it_is_released(
+def test_key_has_one_winner_until_it_is_released(
     records: list[tuple[int, bool]], split: int
 ) -> None:
-    """Repeats of a claim, releases by winners and losers, in any order and read in any portions."""
-    whole, portions = OrderLedger(), OrderLedger()
+    """Repeated claims and releases by winners and losers, in any order and read in any batches."""
+    whole, in_batches = OrderLedger(), OrderLedger()
     payloads = [
         release(str(claim)) if released else batch(Claim(str(claim), KEY, b"d"))
         for claim, released in records
     ]
-    sending: str | None = None
+    current_winner: str | None = None
     for offset, payload in enumerate(payloads):
         whole.apply(offset, payload)
         winners = [n for n in range(6) if whole.judge(Claim(str(n), KEY, b"d")) == Won(str(n), KEY)]
         assert len(winners) <= 1
         claim, released = records[offset]
-        if sending is not None and not (released and str(claim) == sending):
-            assert winners == [int(sending)]
-        sending = str(winners[0]) if winners else None
+        if current_winner is not None and not (released and str(claim) == current_winner):
+            assert winners == [int(current_winner)]
+        current_winner = str(winners[0]) if winners else None
     for offset, payload in [*enumerate(payloads[:split]), *enumerate(payloads)]:
-        portions.apply(offset, payload)
-    assert portions.get(KEY) == whole.get(KEY)
+        in_batches.apply(offset, payload)
+    assert in_batches.get(KEY) == whole.get(KEY)
 
 
 @pytest.mark.parametrize(
@@ -142,8 +143,8 @@
         ),
     ],
 )
-def test_only_a_whole_answer_is_given_again(
+def test_only_complete_answers_are_replayed(
     outcome: Outcome, answer: bytes, expected: RecordedAnswer
 ) -> None:
-    """A desk breaks off in mid-answer; a repeat must not get the half as the whole."""
+    """Guards against replaying a partial answer as a complete one."""
     assert recorded_answer(settlement_of("a", KEY, outcome, 201, answer, "a/b")) == expected
--- a/packages/ragwortwing-policy/tests/test_retries.py
+++ b/packages/ragwortwing-policy/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Rules of what may run again, and the budget."""
+"""Tests of the retry rules and the retry budget."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 from ragwortwing_policy.routing import BackendKind
 
 ENGINE, SERVICE = BackendKind.ENGINE, BackendKind.SERVICE
-UNKNOWN = Unknown(UnknownReason.BACKEND_LOST)
-LOST = Failed(FailedReason.BACKEND_LOST)
+LOST_UNKNOWN = Unknown(UnknownReason.BACKEND_LOST)
+LOST_MID_STREAM = Failed(FailedReason.BACKEND_LOST)
 
 
 @pytest.mark.parametrize(
     ("interruption", "expected"),
     [
-        (Interruption(SERVICE, False, 1, 10.0, False), GiveUp(UNKNOWN)),
-        (Interruption(ENGINE, False, 1, 10.0, True), GiveUp(UNKNOWN)),
+        (Interruption(SERVICE, False, 1, 10.0, False), GiveUp(LOST_UNKNOWN)),
+        (Interruption(ENGINE, False, 1, 10.0, True), GiveUp(LOST_UNKNOWN)),
         (Interruption(SERVICE, True, 1, 10.0, False), RunAgain()),
-        (Interruption(SERVICE, True, 1, 10.0, True), GiveUp(LOST)),
-        (Interruption(SERVICE, True, 1, 1.0, False), GiveUp(UNKNOWN)),
+        (Interruption(SERVICE, True, 1, 10.0, True), GiveUp(LOST_MID_STREAM)),
+        (Interruption(SERVICE, True, 1, 1.0, False), GiveUp(LOST_UNKNOWN)),
         (Interruption(ENGINE, True, 1, 10.0, False), RunAgain()),
         (Interruption(ENGINE, True, 1, 60.0, True), Resume(60.0)),
         (Interruption(ENGINE, True, 1, 1.0, True), Resume(21.0)),
-        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, True), GiveUp(LOST)),
-        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, False), GiveUp(UNKNOWN)),
+        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, True), GiveUp(LOST_MID_STREAM)),
+        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, False), GiveUp(LOST_UNKNOWN)),
     ],
 )
-def test_after_a_loss(interruption: Interruption, expected: object) -> None:
+def test_decision_after_loss(interruption: Interruption, expected: object) -> None:
     assert decide_after_loss(interruption, RetryBudget(), now=1.0) == expected
 
 
@@ -54,23 +54,18 @@
     ("outcome", "repeated"),
     [
         (NotRun(NotRunReason.DRAINING), True),
-        (UNKNOWN, False),
+        (LOST_UNKNOWN, False),
         (Failed(FailedReason.BACKEND_ERROR, 500), False),
     ],
 )
-def test_an_order_is_asked_elsewhere_only_where_its_agent_says_not_run(
-    outcome: Outcome, repeated: bool
-) -> None:
+def test_order_is_retried_only_if_not_run(outcome: Outcome, repeated: bool) -> None:
     order = Interruption(SERVICE, False, 1, 10.0, False)
     decision = decide_after_outcome(outcome, order, RetryBudget(), now=1.0)
     assert decision == (RunAgain() if repeated else GiveUp(outcome))
 
 
-def test_a_storm_of_failures_gets_its_share_and_no_more() -> None:
-    """Every engine fails for a while and every request of an entry wants a second run.
-
-    If each got one, the load would double at the worst moment.
-    """
+def test_retries_are_limited_to_share_of_successes() -> None:
+    """Guards against retries that double the load while every engine fails."""
     budget = RetryBudget(RetrySettings(share=0.1, floor=3.0))
     for each in range(100):
         budget.succeeded(each * 0.01)
@@ -78,7 +73,7 @@
     assert 12 <= allowed <= 13
 
 
-def test_old_successes_are_forgotten() -> None:
+def test_old_successes_decay() -> None:
     budget = RetryBudget(RetrySettings(floor=0.0))
     for _ in range(100):
         budget.succeeded(0.0)
--- a/packages/ragwortwing-policy/tests/test_scheduler.py
+++ b/packages/ragwortwing-policy/tests/test_scheduler.py
@@ -1,3 +1,5 @@
+"""Tests of the scheduler: queue order, preemption, refusals, aging and draining."""
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -76,7 +78,7 @@
     assert not subject.started(reservation("one"), 1.0)
 
 
-def test_offer_of_a_known_request_changes_nothing() -> None:
+def test_duplicate_offer_has_no_effect() -> None:
     subject = scheduler(limit=1)
     subject.offer(reservation("one"), 0.0)
     assert subject.offer(reservation("one"), 0.0) == []
@@ -107,9 +109,11 @@
     assert [each for each in order if each != "b0"] == ["a0", "a1", "a2", "a3"]
 
 
-def test_urgent_request_preempts_and_the_preempted_one_resumes_at_its_offset() -> None:
-    """A buyer writes while the only slot works on a menu draft; the buyer is answered in time, and
-    the draft goes on afterwards from the token where it stopped.
+def test_preempted_request_resumes_at_its_offset() -> None:
+    """Guards against an urgent request waiting for a long run of a less urgent class.
+
+    The draft in the only slot is preempted for the chat, then resumed at the token where it
+    stopped.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("draft", "draft"))
@@ -133,9 +137,11 @@
     assert granted(subject.finished("chat", 1.2)) == ["old"]
 
 
-def test_resumed_run_is_spared_until_a_target_is_at_stake() -> None:
-    """Chats come again and again while one draft tries to finish. Without protection each resumed
-    run would be cut after a token; with too much of it a buyer would wait past the target.
+def test_resumed_run_is_protected_until_target_is_at_risk() -> None:
+    """Guards against starving a resumed run, and against protecting it for too long.
+
+    Chats keep arriving while one draft tries to finish. Without protection each resumed run would
+    be preempted after a token. With too much protection a chat would miss its target.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("draft", "draft"))
@@ -164,7 +170,7 @@
     assert subject.offer(reservation("second"), 4.0) == [Preempt("draft")]
 
 
-def test_arrival_without_hope_is_refused_with_a_time_to_come_back() -> None:
+def test_infeasible_arrival_is_refused_with_retry_delay() -> None:
     subject = scheduler(limit=1)
     run(subject, reservation("running"))
     subject.offer(reservation("queued"), 0.0)
@@ -174,9 +180,11 @@
     assert decisions[0].retry_after >= timedelta(seconds=1)
 
 
-def test_urgent_arrival_is_not_refused_while_lesser_work_can_make_way() -> None:
-    """All slots write menu drafts when a crowd of buyers comes. Every buyer for whom a draft can
-    make way is taken, and the first refusal finds no draft left undisturbed.
+def test_urgent_arrival_is_not_refused_while_preemption_is_possible() -> None:
+    """Guards against refusing an urgent request while a less urgent run could be preempted.
+
+    All slots run drafts when many chats arrive. Before the first refusal, every draft must have
+    been preempted.
     """
     subject = scheduler(limit=4)
     for index in range(4):
@@ -191,9 +199,11 @@
     assert all(decisions.index(each) < refused[0] for each in preempted)
 
 
-def test_late_request_is_taken_where_lesser_work_can_make_way() -> None:
-    """A buyer's request, given up elsewhere with its time used up, asks where a draft runs. It
-    is answered late rather than refused beside a draft.
+def test_late_request_is_accepted_while_preemption_is_possible() -> None:
+    """Guards against refusing a late urgent request while a less urgent run could be preempted.
+
+    Another agent refused the request after its queue limit was used up. It is answered late instead
+    of being refused while a draft keeps its slot.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("draft", "draft"))
@@ -201,9 +211,10 @@
     assert subject.offer(late, 100.0) == [Preempt("draft")]
 
 
-def test_queued_request_that_turned_hopeless_is_refused_on_the_next_tick() -> None:
-    """The engine stops answering while a buyer is queued; the buyer hears within one look through
-    the queue after the time has run out, not at the deadline.
+def test_queued_request_that_became_infeasible_is_refused() -> None:
+    """Guards against holding a queued request until its deadline after the engine stopped.
+
+    It must be refused by the next scan of the queue after its time has run out.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("running"))
@@ -215,16 +226,19 @@
     assert subject.load(1.6).queued == 0
 
 
-def test_request_past_its_deadline_is_refused_as_such() -> None:
+def test_request_past_its_deadline_is_refused_with_that_reason() -> None:
+    """Guards against a request waiting in the queue after its caller has stopped waiting."""
     subject = scheduler(limit=1)
     run(subject, reservation("running", "draft"))
     subject.offer(replace(reservation("late", "draft"), deadline=600.0), 0.0)
     assert subject.tick(600.0) == [Refuse("late", NotRunReason.DEADLINE)]
 
 
-def test_time_that_a_request_waited_elsewhere_counts() -> None:
-    """A buyer's request is given up at one agent after most of its time and asks at another. Taken
-    for a new one it would wait its whole limit again and be answered too late; it is refused.
+def test_wait_at_another_agent_counts() -> None:
+    """Guards against queueing a request for its whole limit a second time at another agent.
+
+    Most of its time was used up in another agent's queue. It would be answered too late, so it is
+    refused.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("running"))
@@ -235,9 +249,10 @@
     assert [type(each) for each in subject.offer(tried_elsewhere, 100.0)] == [Refuse]
 
 
-def test_free_slot_goes_to_a_request_that_can_still_use_it() -> None:
-    """A stalled engine comes back with a queue in which the first buyer has waited too long. That
-    one is refused, and the slot answers the next in time rather than both too late.
+def test_free_slot_goes_to_request_that_can_start_in_time() -> None:
+    """Guards against answering every queued request late after an engine stalled.
+
+    The first request has waited too long. It is refused, so that the next one is answered in time.
     """
     subject = scheduler(limit=1)
     run(subject, replace(reservation("running"), expected_tokens=1))
@@ -248,7 +263,7 @@
     assert [each.request_id for each in decisions] == ["late", "next"]
 
 
-def test_aged_request_takes_a_slot_that_urgent_work_can_spare() -> None:
+def test_aged_request_gets_slot_if_urgent_targets_are_met() -> None:
     subject = scheduler(limit=8)
     for index in range(8):
         run(subject, reservation(f"chat{index}"))
@@ -258,9 +273,10 @@
     assert granted(subject.finished("chat0", 121.0)) == ["draft"]
 
 
-def test_aged_request_waits_while_an_urgent_one_would_miss_its_target() -> None:
-    """A draft has waited past its bound, but the buyers' queue is so long that the next slot is
-    theirs; the draft gets none.
+def test_aged_request_waits_if_urgent_request_would_miss_target() -> None:
+    """Guards against aging at the expense of urgent requests.
+
+    A draft has waited past its aging bound, but a chat would miss its target without the slot.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("running"))
@@ -269,7 +285,7 @@
     assert granted(subject.finished("running", 121.1)) == ["chat"]
 
 
-def test_preset_sheds_a_class_and_sorts_the_queue_anew() -> None:
+def test_preset_sheds_class_and_reorders_queue() -> None:
     subject = scheduler(limit=1)
     run(subject, reservation("running"))
     subject.offer(reservation("draft", "draft"), 0.0)
@@ -284,9 +300,10 @@
     ]
 
 
-def test_answer_that_has_begun_outlives_its_class() -> None:
-    """Operators shed a class, and later take it out of the configuration, while answers of it are
-    being written. One is preempted and one comes over from a lost engine; both still end.
+def test_running_answer_finishes_after_its_class_is_removed() -> None:
+    """Guards against cutting off running answers of a class that is shed or removed.
+
+    One answer is preempted and another one arrives from a lost engine. Both must still finish.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("draft", "draft"))
@@ -300,9 +317,11 @@
     assert granted(subject.finished("moved", 0.7)) == ["draft"]
 
 
-def test_drain_hands_back_what_is_queued_and_lets_begun_answers_end() -> None:
-    """An engine's VM is leaving while a draft is parked behind a chat. The queued chat is handed
-    back at once; the draft, of which the caller has a part, still gets its slot and ends.
+def test_drain_refuses_queued_requests_and_finishes_begun_answers() -> None:
+    """Guards against refusing a preempted answer when its VM drains.
+
+    The caller already has a part of the preempted draft, so it must still get a slot. A draft that
+    has not begun is refused.
     """
     subject = scheduler(limit=1)
     run(subject, reservation("draft", "draft"))
@@ -315,7 +334,7 @@
     assert granted(subject.finished("chat", 0.4)) == ["draft"]
 
 
-def test_withdrawn_reservation_frees_its_place_and_its_slot() -> None:
+def test_withdrawn_reservation_frees_its_slot() -> None:
     subject = scheduler(limit=1)
     subject.offer(reservation("held"), 0.0)
     subject.offer(reservation("gone", "draft"), 0.0)
@@ -324,9 +343,11 @@
     assert granted(subject.withdraw("held", 0.1)) == ["next"]
 
 
-def test_stalled_engine_gets_no_new_request_until_it_answers_again() -> None:
-    """All streams of an engine fall silent. New requests are not sent into the stall, where nobody
-    knows when they would start; with the first token they are.
+def test_stalled_engine_gets_no_requests_until_next_token() -> None:
+    """Guards against sending requests to a stalled engine.
+
+    All streams are silent, so it is unknown when a new request would start. Requests are granted
+    again after the next token.
     """
     subject = scheduler(limit=3)
     for name in ("one", "two"):
@@ -338,9 +359,11 @@
     assert granted(subject.tick(2.6)) == ["new"]
 
 
-def test_engine_whose_callers_read_nothing_is_probed() -> None:
-    """Two callers stop reading, so their streams stand still on an engine that is well. Nobody else
-    would be answered there again; after a while one request at a time is let through.
+def test_engine_with_stopped_readers_is_probed() -> None:
+    """Guards against blocking a healthy engine whose callers have stopped reading.
+
+    Their streams are silent, which looks like a stall. After a while one request at a time must be
+    granted as a probe.
     """
     subject = scheduler(limit=4)
     for name in ("one", "two"):
--- a/packages/ragwortwing-policy/tests/test_scheduler_properties.py
+++ b/packages/ragwortwing-policy/tests/test_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""What the scheduler promises, over generated bursts on a small engine in virtual time."""
+"""Property-based tests of the scheduler with generated bursts on a simulated engine."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from ragwortwing_policy.reservations import Grant, Preempt, Refuse, Reservation
 from ragwortwing_policy.scheduler import Scheduler, SchedulerSettings
 
-STEP = 0.1
+STEP_SECONDS = 0.1
 TOKENS_PER_STEP = 3
 STEPS_TO_FIRST_TOKEN = 2
 SLOTS = 3
-LONGEST_RUN = 8_000
+MAXIMUM_STEPS = 8_000
 AGING = timedelta(seconds=8)
 
 
@@ -67,8 +67,8 @@
 )
 
 
-class Bench:
-    """An engine that gives every stream the same pace, and a record of what was decided."""
+class Simulation:
+    """Simulates an engine with the same pace for all streams, and records the decisions."""
 
     def __init__(self, generated: list[Arrival]) -> None:
         self.scheduler = Scheduler(SchedulerSettings(SLOTS, SLOTS), CONFIGURATION)
@@ -81,17 +81,17 @@
         self.preempting: set[str] = set()
         self.begun: set[str] = set()
         self.ends: list[tuple[str, str]] = []
-        self.log: list[object] = []
+        self.decision_log: list[object] = []
         self.now = 0.0
 
-    def run(self) -> Bench:
+    def run(self) -> Simulation:
         pending = list(enumerate(self.arrivals))
-        for step in range(LONGEST_RUN):
-            self.now = step * STEP
+        for step in range(MAXIMUM_STEPS):
+            self.now = step * STEP_SECONDS
             self._generate(step)
             while pending and pending[0][1].step <= step:
                 self._offer(*pending.pop(0))
-            self._take_in(self.scheduler.tick(self.now))
+            self._apply_decisions(self.scheduler.tick(self.now))
             if not pending and not self.queued and not self.step_by_running_id:
                 break
         return self
@@ -111,14 +111,14 @@
         self.tokens_by_id[reservation.request_id] = arrival.tokens
         self.offered_at_by_id[reservation.request_id] = self.now
         self.queued.add(reservation.request_id)
-        self._take_in(self.scheduler.offer(reservation, self.now))
+        self._apply_decisions(self.scheduler.offer(reservation, self.now))
 
     def _generate(self, step: int) -> None:
         for request_id in sorted(self.preempting):
             self.preempting.discard(request_id)
             if self.step_by_running_id.pop(request_id, None) is not None:
                 self.queued.add(request_id)
-                self._take_in(self.scheduler.preempted(request_id, self.now))
+                self._apply_decisions(self.scheduler.preempted(request_id, self.now))
         for request_id, started in sorted(self.step_by_running_id.items()):
             if step - started >= STEPS_TO_FIRST_TOKEN:
                 self._advance(request_id)
@@ -132,10 +132,10 @@
         if resumed.resumed_tokens == self.tokens_by_id[request_id]:
             del self.step_by_running_id[request_id]
             self.ends.append((request_id, "finished"))
-            self._take_in(self.scheduler.finished(request_id, self.now))
+            self._apply_decisions(self.scheduler.finished(request_id, self.now))
 
-    def _take_in(self, decisions: list) -> None:
-        self.log += [(self.now, each) for each in decisions]
+    def _apply_decisions(self, decisions: list) -> None:
+        self.decision_log += [(self.now, each) for each in decisions]
         for decision in decisions:
             if isinstance(decision, Preempt):
                 self._on_preempt(decision)
@@ -159,8 +159,8 @@
         self.ends.append((decision.request_id, "refused"))
         if decision.reason is NotRunReason.OVERLOADED:
             tier = self.tier(decision.request_id)
-            undisturbed = self.step_by_running_id.keys() - self.preempting
-            assert all(self.tier(each) <= tier for each in undisturbed)
+            not_preempted = self.step_by_running_id.keys() - self.preempting
+            assert all(self.tier(each) <= tier for each in not_preempted)
 
     def _on_grant(self, decision: Grant) -> None:
         request_id = decision.request_id
@@ -168,39 +168,42 @@
         aged = self.now - self.offered_at_by_id[request_id] >= AGING.total_seconds()
         assert aged or all(self.tier(each) >= self.tier(request_id) for each in self.queued)
         assert self.scheduler.started(self.reservation_by_id[request_id], self.now)
-        self.step_by_running_id[request_id] = round(self.now / STEP)
+        self.step_by_running_id[request_id] = round(self.now / STEP_SECONDS)
         self.begun.add(request_id)
         assert len(self.step_by_running_id) <= SLOTS
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(arrivals)
-def test_each_request_has_one_end_without_inversion_between_tiers(generated) -> None:
-    """Bursts of every class meet three slots. Whatever comes, each request is refused once or
-    finished once, nothing that began is refused, a slot goes to a less urgent request only by
-    aging, and a refusal for overload leaves no less urgent run undisturbed.
+def test_requests_end_once_without_priority_inversion(generated) -> None:
+    """Checks the scheduler's invariants with bursts of every class on three slots.
+
+    Each request is either refused or finished, exactly once. A request that has begun is never
+    refused. A less urgent request gets a slot first only by aging. An overload refusal is only
+    allowed if all less urgent runs are being preempted.
     """
-    bench = Bench(generated).run()
-    ended = [request_id for request_id, _ in bench.ends]
-    assert sorted(ended) == sorted(bench.reservation_by_id)
+    simulation = Simulation(generated).run()
+    ended = [request_id for request_id, _ in simulation.ends]
+    assert sorted(ended) == sorted(simulation.reservation_by_id)
 
 
 @settings(derandomize=True, deadline=None, max_examples=30)
 @given(arrivals)
-def test_same_events_give_the_same_decisions(generated) -> None:
-    assert Bench(generated).run().log == Bench(generated).run().log
+def test_scheduler_is_deterministic(generated) -> None:
+    assert Simulation(generated).run().decision_log == Simulation(generated).run().decision_log
 
 
 @settings(derandomize=True, deadline=None, max_examples=40)
 @given(st.integers(1, 12), st.integers(10, 60))
 def test_admitted_lower_requests_end_after_a_burst(drafts, chats) -> None:
-    """Drafts are being written when a burst of chats takes every slot for a while. The drafts that
-    were admitted all end once the burst is over.
+    """Guards against losing or starving admitted drafts during a burst of chats.
+
+    The burst takes every slot for a while. All admitted drafts must finish afterwards.
     """
-    lower = [Arrival(0, "draft", "a", 100) for _ in range(drafts)]
+    draft_arrivals = [Arrival(0, "draft", "a", 100) for _ in range(drafts)]
     burst = [Arrival(10 + index // 2, "chat", "b", 20) for index in range(chats)]
-    bench = Bench(lower + burst).run()
-    ends = dict(bench.ends)
-    admitted = [each for each in ends if bench.tier(each) == 2 and each in bench.begun]
+    simulation = Simulation(draft_arrivals + burst).run()
+    ends = dict(simulation.ends)
+    admitted = [each for each in ends if simulation.tier(each) == 2 and each in simulation.begun]
     assert admitted
     assert all(ends[each] == "finished" for each in admitted)
--- a/packages/ragwortwing-policy/tests/test_subsets.py
+++ b/packages/ragwortwing-policy/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Balance, reach and movement of the deterministic subsets."""
+"""Tests of the balance, coverage and stability of the computed subsets."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     return {each: set(subset(each, ids, agents, size)) for each in ids}
 
 
-def moved(before: dict[str, set[str]], after: dict[str, set[str]]) -> float:
-    """Return the share of the connections of entries in both that had to be dialled anew."""
+def moved_share(before: dict[str, set[str]], after: dict[str, set[str]]) -> float:
+    """Return the share of connections that changed, for entries in both assignments."""
     kept = before.keys() & after.keys()
     return sum(len(after[e] - before[e]) for e in kept) / sum(len(before[e]) for e in kept)
 
 
 @pytest.mark.parametrize(("count", "agents", "models"), [(12, 300, 1), (20, 120, 4)])
-def test_agents_are_covered_evenly_and_each_pool_reached_in_each_zone(
+def test_agents_are_covered_evenly_with_all_pools_in_all_zones(
     count: int, agents: int, models: int
 ) -> None:
     known = fleet(agents, models)
@@ -49,23 +49,23 @@
         assert len(ids) == subset_size(count, agents)
 
 
-def test_few_connections_move_when_an_entry_or_an_agent_comes_or_goes() -> None:
+def test_few_connections_move_when_entries_or_agents_change() -> None:
     known = fleet(300, 1)
     ids = entries(12)
     before = assignment(ids, known)
     fresh = SubsetAgent("new", "nadi", frozenset({"m0"}))
-    assert moved(before, assignment(ids[:-1], known)) < 0.15
-    assert moved(before, assignment([*ids, "new"], known)) < 0.15
-    assert moved(before, assignment(ids, known[1:])) < 0.05
-    assert moved(before, assignment(ids, [*known, fresh])) < 0.05
+    assert moved_share(before, assignment(ids[:-1], known)) < 0.15
+    assert moved_share(before, assignment([*ids, "new"], known)) < 0.15
+    assert moved_share(before, assignment(ids, known[1:])) < 0.05
+    assert moved_share(before, assignment(ids, [*known, fresh])) < 0.05
 
 
-def test_every_process_computes_the_same_whatever_the_order_of_its_lists() -> None:
+def test_subset_does_not_depend_on_list_order() -> None:
     known = fleet(60, 2)
     ids = entries(9)
     assert subset("e3", ids, known, 20) == subset("e3", ids[::-1], known[::-1], 20)
 
 
-def test_a_small_fleet_is_connected_to_whole_and_an_unlisted_entry_counts_itself() -> None:
+def test_small_fleet_is_fully_connected_and_unlisted_entry_is_counted() -> None:
     assert len(subset("e0", [], fleet(9, 1), 16)) == 9
     assert len(subset("new", entries(5), fleet(60, 1), 16)) == 16
