--- a/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_log.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_log.py
@@ -204,11 +204,11 @@
         return Step(state)
     state = skip_to(state, record.offset)
     if state.complete:
-        return _judge(state, record)
+        return _evaluate(state, record)
     return _buffer(state, record)
 
 
-def _judge(state: FoldState, record: RawRecord) -> Step:
+def _evaluate(state: FoldState, record: RawRecord) -> Step:
     entry = decode_entry(record.payload)
     moved = replace(state, position=record.offset + 1)
     if entry is None:
@@ -258,7 +258,7 @@
     if isinstance(entry, Publication) and entry.base is UNCONDITIONAL:
         # An unconditional publication does not depend on the unknown state before it.
         resumed = replace(state, complete=True, pending=(), position=record.offset)
-        step = _judge(resumed, record)
+        step = _evaluate(resumed, record)
         if isinstance(step.judged[0].verdict, Accepted):
             return step
         return Step(buffered, (Judged(record.offset, entry, step.judged[0].verdict),))
@@ -275,7 +275,7 @@
     judged: list[Judged] = []
     for each in pending:
         if each.offset >= entry.through:
-            step = _judge(base, each)
+            step = _evaluate(base, each)
             base = step.state
             judged.extend(step.judged)
     return Step(base, tuple(judged))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch.py
@@ -196,7 +196,7 @@
         return [] if self._pending else self._ask(now)
 
     def on_caller_gone(self, now: Instant) -> list[DispatchDecision]:
-        """Cancel the request as its caller disconnected; an order that was sent keeps running."""
+        """Handle a disconnected caller: cancel the request, unless it is an order that was sent."""
         if self._state == "ended":
             return []
         outcome: Outcome = self._outcome_of_refusal(NotRun(NotRunReason.WITHDRAWN))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/engine_orders.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/engine_orders.py
@@ -164,9 +164,9 @@
             return True
         # A report may lag behind an accepted order, so the order is repeated no faster than a
         # failed one.
-        is_unconfirmed = attempt.taken and reported is None
+        use_reassert_interval = attempt.taken and reported is None
         return now >= attempt.at + (
-            self._reassert_interval if is_unconfirmed else self._retry_interval
+            self._reassert_interval if use_reassert_interval else self._retry_interval
         )
 
     def _orders_for(self, desired: DesiredEngine) -> tuple[EngineOrder, ...]:
