--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/__init__.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform, checked settings and telemetry."""
+"""Runtime of a process: application base, platform clients, settings, logs and telemetry."""
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/_claim_committer.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/_claim_committer.py
@@ -1,4 +1,8 @@
-"""Appends the claims and outcomes of one agent, an interval's worth in each record."""
+"""Appends one agent's claims and outcomes to the log.
+
+Everything queued within one interval is written as a single record (group commit), because the log
+limits the rate of appends.
+"""
 
 from __future__ import annotations
 
@@ -35,12 +39,13 @@
     from .record_log import Log
 
 ORDERS_STREAM = "orders"
-SETTLEMENT_LIMIT = 20_000
-"""Most outcomes that wait for the log; a key whose outcome is dropped stays unknown."""
-APPEND_PAUSE = timedelta(milliseconds=500)
-"""How long new claims are refused without an attempt after the log refused an append."""
+MAX_QUEUED_SETTLEMENTS = 20_000
+"""Maximum number of outcomes queued for the log. Beyond it the oldest is dropped, and the outcome
+of its key stays unknown."""
+APPEND_RETRY_DELAY = timedelta(milliseconds=500)
+"""How long new claims are refused without a further attempt after the log refused an append."""
 LOG_RETRY_AFTER = timedelta(seconds=2)
-"""When to come back while the log is down."""
+"""Retry delay given to callers while the log is unavailable."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,34 +58,34 @@
     send_window: timedelta = timedelta(seconds=5)
     """Longest time from the request to the write to the backend server."""
     repeat_wait: timedelta = timedelta(seconds=3)
-    """Longest time that a repeat of a key waits for the first submission's outcome. Its holder may
-    be gone for good; a longer wait would hold back an answer that cannot get better."""
+    """Longest time that a repeat of a key waits for the outcome of the first submission. The agent
+    that holds the first claim may have crashed; waiting longer would only delay the answer."""
     append_interval: timedelta = timedelta(milliseconds=10)
-    """Least time between two appends; with N agents, they share the log's rate by it."""
+    """Minimum time between two appends. It divides the log's append rate among the agents."""
     batch_limit: int = 256
-    """Most claims and outcomes in one record."""
+    """Maximum number of claims and outcomes in one record."""
     poll_wait: timedelta = timedelta(seconds=10)
-    """How long the log may hold a read while nothing is appended."""
+    """How long a long-polling read may wait for new records."""
     stream: str = ORDERS_STREAM
 
 
 @dataclass(slots=True)
 class ClaimWaiter:
-    """A submission that waits for its claim to be read back."""
+    """A submission that waits until its claim is read back from the log."""
 
     claim: Claim
     resolved: trio.Event = field(default_factory=trio.Event)
     result: ClaimVerdict | NotRun | None = None
 
     def resolve(self, result: ClaimVerdict | NotRun) -> None:
-        """Give the result; a later one changes nothing."""
+        """Set the result and wake the submission. Later calls have no effect."""
         if self.result is None:
             self.result = result
             self.resolved.set()
 
 
 class ClaimCommitter:
-    """The queue of one agent's claims and outcomes, and the task that appends them."""
+    """Queues one agent's claims and outcomes, and appends them to the log in batches."""
 
     def __init__(
         self,
@@ -99,7 +104,8 @@
             random: Source of jitter.
             agent_id: Name and incarnation of the agent.
             settings: Limits.
-            read_to_end: Reads the stream as far as it goes and resolves the waiters of own claims.
+            read_to_end: Reads to the end of the stream and resolves the waiters of this agent's
+                claims.
         """
         self._log = log
         self._clock = clock
@@ -108,38 +114,38 @@
         self._settings = settings
         self._read_to_end = read_to_end
         self._queue: deque[ClaimWaiter] = deque()
-        self._settlements_by_claim: OrderedDict[str, Settlement] = OrderedDict()
-        self._work = trio.Event()
+        self._settlements_by_claim_id: OrderedDict[str, Settlement] = OrderedDict()
+        self._work_available = trio.Event()
         self._next_append_at = -math.inf
 
     @property
     def available(self) -> bool:
-        """Return whether the log took the last append, or may be tried again."""
+        """Return whether claims may be appended: False for a while after a refused append."""
         return self._clock.monotonic() >= self._next_append_at
 
     def queue_claim(self, waiter: ClaimWaiter) -> None:
-        """Append a claim with the next record."""
+        """Queue a claim for the next record."""
         self._queue.append(waiter)
-        self._work.set()
+        self._work_available.set()
 
     def queue_settlement(self, settlement: Settlement) -> None:
-        """Append an outcome with a next record, until it stands in the log."""
-        self._settlements_by_claim.setdefault(settlement.claim_id, settlement)
-        if len(self._settlements_by_claim) > SETTLEMENT_LIMIT:
-            self._settlements_by_claim.popitem(last=False)
-        self._work.set()
+        """Queue an outcome; it is appended again until the log confirms it or it is read back."""
+        self._settlements_by_claim_id.setdefault(settlement.claim_id, settlement)
+        if len(self._settlements_by_claim_id) > MAX_QUEUED_SETTLEMENTS:
+            self._settlements_by_claim_id.popitem(last=False)
+        self._work_available.set()
 
-    def settlement_read(self, settlement: Settlement) -> None:
-        """Append an outcome no more, as it was read back."""
-        self._settlements_by_claim.pop(settlement.claim_id, None)
+    def confirm_settlement(self, settlement: Settlement) -> None:
+        """Stop appending an outcome that is known to be in the log."""
+        self._settlements_by_claim_id.pop(settlement.claim_id, None)
 
     async def run(self) -> None:
-        """Append what is queued, one record at a time, until cancelled."""
+        """Append queued claims and outcomes, one record at a time, until cancelled."""
         backoff = Backoff(self._random)
         while True:
-            await self._work.wait()
-            self._work = trio.Event()
-            while self._queue or self._settlements_by_claim:
+            await self._work_available.wait()
+            self._work_available = trio.Event()
+            while self._queue or self._settlements_by_claim_id:
                 started = self._clock.monotonic()
                 if await self._append_batch():
                     backoff.reset()
@@ -150,7 +156,7 @@
                     await trio.sleep(backoff.next_wait().total_seconds())
 
     async def _append_batch(self) -> bool:
-        """Append one record of what is queued; return whether the log took it."""
+        """Append one record of queued entries; return whether the log accepted it."""
         settlements = self._next_settlements()
         waiters = self._next_waiters(self._settings.batch_limit - len(settlements))
         if not waiters and not settlements:
@@ -165,36 +171,41 @@
         match result:
             case Appended():
                 for settlement in settlements:
-                    self.settlement_read(settlement)
+                    self.confirm_settlement(settlement)
                 return True
             case AppendUnknown():
-                # A read that begins now shows the record, unless it never came or comes late. What
-                # is not there is appended again: the same claim twice is one claim.
+                # A read that starts now returns the record, unless the append was lost or takes
+                # effect later. Claims that are not read back are appended again; a duplicate of a
+                # claim counts as the same claim.
                 await self._read_to_end()
                 self._requeue(waiters)
             case LogUnavailable(cause=LogCause.RATE):
                 self._requeue(waiters)
             case LogUnavailable():
-                # Claims are refused at once until then; the first one after it tries the log.
-                self._next_append_at = self._clock.monotonic() + APPEND_PAUSE.total_seconds()
+                # Claims are refused immediately until then. The first claim after it tries the log.
+                self._next_append_at = self._clock.monotonic() + APPEND_RETRY_DELAY.total_seconds()
                 self._refuse([*waiters, *self._queue])
                 self._queue.clear()
         return False
 
     def _next_settlements(self) -> tuple[Settlement, ...]:
-        """Return outcomes for the next record; each one frees or answers the repeats of a key."""
-        return tuple(islice(self._settlements_by_claim.values(), self._settings.batch_limit))
+        """Return the outcomes for the next record.
+
+        They go before claims, because repeats of their keys wait for them.
+        """
+        return tuple(islice(self._settlements_by_claim_id.values(), self._settings.batch_limit))
 
-    def _next_waiters(self, room: int) -> list[ClaimWaiter]:
+    def _next_waiters(self, limit: int) -> list[ClaimWaiter]:
+        """Remove and return up to `limit` submissions that still wait."""
         waiters: list[ClaimWaiter] = []
-        while self._queue and len(waiters) < room:
+        while self._queue and len(waiters) < limit:
             waiter = self._queue.popleft()
             if waiter.result is None:
                 waiters.append(waiter)
         return waiters
 
     def _requeue(self, waiters: list[ClaimWaiter]) -> None:
-        """Queue again what was not read back, under the same claim ids."""
+        """Put claims that were not read back at the front of the queue, with the same claim ids."""
         unresolved = [each for each in waiters if each.result is None]
         self._queue.extendleft(reversed(unresolved))
 
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/app.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/app.py
@@ -1,4 +1,4 @@
-"""The application object: it owns the nursery, the life cycle and the planned stop of a process."""
+"""Base class of an application: its task nursery, life cycle and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 log = logbook.Logger("app")
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-"""Signals that ask for a planned stop."""
+"""Signals that request a graceful shutdown."""
 
 CUT_EXIT_CODE = 3
-"""Exit code where the stop cut requests in flight."""
+"""Exit code when the shutdown aborted requests in flight."""
 
 
 class Phase(StrEnum):
-    """Where a process is in its life."""
+    """Phase of a process's life cycle."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -39,19 +39,20 @@
 
 
 class StopLimit(Protocol):
-    """How long a planned stop may take."""
+    """Settings of the graceful shutdown."""
 
     @property
     def limit(self) -> timedelta:
-        """Time for requests in flight to finish."""
+        """Time that requests in flight have to finish."""
         ...
 
 
 class App(MessageHandlers):
-    """Base of a process.
+    """Base class of a process's application.
 
-    A subclass opens what it owns in `mount`, closes it in `unmount`, and finishes what is in flight
-    in `drain`. Tasks are started in `nursery`, which ends with the application.
+    A subclass opens its resources in `mount`, closes them in `unmount`, and finishes requests in
+    flight in `drain`. It starts its tasks in `nursery`, which is cancelled when the application
+    stops.
     """
 
     def __init__(self, name: str, shutdown: StopLimit, clock: Clock | None = None) -> None:
@@ -70,34 +71,34 @@
         return self._nursery
 
     async def mount(self) -> Mapping[str, str]:
-        """Open what the application owns.
+        """Open the application's resources.
 
         Returns:
-            The addresses it listens on, by name, for the ready line.
+            The addresses that the application listens on, by name, for the ready line.
         """
         return {}
 
     async def drain(self) -> None:
-        """Take nothing new and return once nothing is in flight."""
+        """Accept no new requests and return once none is in flight."""
 
     def unfinished(self) -> tuple[str, ...]:
         """Return the ids of the requests in flight."""
         return ()
 
     async def unmount(self) -> None:
-        """Close what the application owns."""
+        """Close the application's resources."""
 
     def stop(self) -> None:
-        """Ask for a planned stop; asked again, the stop does not wait any longer."""
+        """Request a graceful shutdown. A second call ends the wait for requests in flight."""
         if self._stop_requested.is_set():
             self._stop_forced.set()
         self._stop_requested.set()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> int:
-        """Run until a planned stop.
+        """Run until a graceful shutdown has ended.
 
         Args:
-            task_status: Told once the application is ready.
+            task_status: Started once the application is ready.
 
         Returns:
             The exit code of the process.
@@ -110,16 +111,16 @@
                 print_ready(self.name, listen)
                 task_status.started()
                 await self._stop_requested.wait()
-                cut = await self._drain_within_limit()
+                aborted = await self._drain_within_limit()
             finally:
                 with trio.CancelScope(shield=True):
                     await self.unmount()
                 self.phase = Phase.STOPPED
             nursery.cancel_scope.cancel()
-        return CUT_EXIT_CODE if cut else 0
+        return CUT_EXIT_CODE if aborted else 0
 
     async def run_with_signals(self) -> int:
-        """Run as the one application of the process, which the stop signals end."""
+        """Run as the only application of the process; the stop signals request its shutdown."""
         with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._stop_on_signals, signals)
@@ -133,6 +134,7 @@
             self.stop()
 
     async def _drain_within_limit(self) -> tuple[str, ...]:
+        """Drain within the shutdown limit; return the ids of requests that did not finish."""
         self.phase = Phase.DRAINING
         log.info("Draining", in_flight=len(self.unfinished()))
         with trio.move_on_after(self._shutdown.limit.total_seconds()):
@@ -140,12 +142,12 @@
                 nursery.start_soon(self._cancel_when_forced, nursery.cancel_scope)
                 await self.drain()
                 nursery.cancel_scope.cancel()
-        cut = self.unfinished()
-        if cut:
-            log.error("Requests in flight were cut", request_ids=cut)
+        aborted = self.unfinished()
+        if aborted:
+            log.error("Shutdown aborted requests in flight", request_ids=aborted)
         else:
             log.info("Drained")
-        return cut
+        return aborted
 
     async def _cancel_when_forced(self, scope: trio.CancelScope) -> None:
         await self._stop_forced.wait()
@@ -153,11 +155,13 @@
 
 
 def print_ready(name: str, listen: Mapping[str, str]) -> None:
-    """Print the one line of standard output that says that a process is ready.
+    """Print the ready line, which reports that the process is ready and where it listens.
+
+    It is a single JSON object on standard output.
 
     Args:
         name: Name of the process.
-        listen: The addresses it listens on, by name.
+        listen: The addresses that the process listens on, by name.
     """
     line = msgspec.json.encode({"ready": True, "name": name, "listen": dict(listen)})
     sys.stdout.write(line.decode() + "\n")
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/backoff.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/backoff.py
@@ -1,4 +1,4 @@
-"""Waiting times between attempts: they double up to a limit and are drawn at random below it."""
+"""Exponential backoff with full jitter, for the time between attempts."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 if TYPE_CHECKING:
     from random import Random
 
-DEFAULT_INITIAL = timedelta(milliseconds=50)
-DEFAULT_LIMIT = timedelta(seconds=2)
+DEFAULT_INITIAL_WAIT = timedelta(milliseconds=50)
+DEFAULT_MAX_WAIT = timedelta(seconds=2)
 
 
 class Backoff:
-    """The waits of one series of failed attempts.
+    """Computes the waits in a series of failed attempts.
 
-    The jitter is drawn over the whole wait, so that processes which lost a service at one moment
-    don't come back to it at one moment.
+    The upper bound of the wait doubles with each attempt, up to a limit. The jitter covers the
+    whole wait, so that processes that lose a service at the same moment do not all retry at once.
     """
 
     def __init__(
         self,
         random: Random,
-        initial: timedelta = DEFAULT_INITIAL,
-        limit: timedelta = DEFAULT_LIMIT,
+        initial: timedelta = DEFAULT_INITIAL_WAIT,
+        limit: timedelta = DEFAULT_MAX_WAIT,
     ) -> None:
         self._random = random
         self._initial = initial
@@ -31,11 +31,11 @@
         self._next = initial
 
     def reset(self) -> None:
-        """Start anew after a success."""
+        """Restart from the initial wait after a success."""
         self._next = self._initial
 
     def next_wait(self) -> timedelta:
-        """Return how long to wait before the next attempt."""
-        most = self._next
-        self._next = min(self._limit, most * 2)
-        return max(most * self._random.random(), self._initial / 10)
+        """Return the time to wait before the next attempt; at least a tenth of the initial wait."""
+        upper_bound = self._next
+        self._next = min(self._limit, upper_bound * 2)
+        return max(upper_bound * self._random.random(), self._initial / 10)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/bounded_logs.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/bounded_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output that neither block the process nor grow with the load."""
+"""Structured logs on standard output, limited in rate and memory, that never block the process."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
     from collections.abc import Callable
 
 DEFAULT_LINES_PER_SECOND = 400
-"""Lines a second: four for each of the hundred requests a second that one small VM serves. At about
-300 bytes a line that is 120 KB/s at most."""
+"""Log lines per second. It allows four lines for each of the 100 requests per second that one small
+VM serves. At about 300 bytes a line, that is at most 120 KB/s."""
 
-MOST_UNWRITTEN_BYTES = 1 << 18
-"""Bytes that wait for a reader that does not read; beyond, lines are left out."""
+MAX_UNWRITTEN_BYTES = 1 << 18
+"""Maximum size of the buffer for a slow reader. Beyond it, lines are dropped."""
 
 
 class BoundedLinesHandler(logbook.Handler):  # type: ignore[misc]
-    """Writes each record as one line of JSON, as far as the budget and the reader allow.
+    """Writes each record as one line of JSON, within a rate limit and a buffer limit.
 
-    A full pipe would stop the one loop of the process and every request with it, so the descriptor
-    is written without waiting and what it does not take is kept up to a bound. Warnings and errors
-    do not count against the budget of lines. What was left out is counted, and said in a line of
-    its own as soon as there is room.
+    A blocking write to a full pipe would stop the event loop and every request with it. So the
+    descriptor is non-blocking, and unwritten bytes are buffered up to a limit. Warnings and errors
+    are exempt from the rate limit. Dropped lines are counted and reported in a line of their own
+    before the next line that is written.
     """
 
     def __init__(
@@ -40,43 +40,43 @@
         self.left_out = 0
         self._process = process
         self._descriptor = descriptor
-        self._budget = lines_per_second
+        self._lines_per_second = lines_per_second
         self._monotonic = monotonic
-        self._second = 0
-        self._lines = 0
-        self._unsaid = 0
-        self._unwritten = bytearray()
+        self._current_second = 0
+        self._lines_in_second = 0
+        self._unreported_lines = 0
+        self._unwritten_bytes = bytearray()
         os.set_blocking(descriptor, False)
 
     def emit(self, record: Any) -> None:
-        """Write a record, or count it as left out."""
-        if record.level < logbook.WARNING and not self._within_budget():
-            self._leave_out()
+        """Write a record, or drop it and count it."""
+        if record.level < logbook.WARNING and not self._within_rate_limit():
+            self._drop_line()
             return
-        if len(self._unwritten) > MOST_UNWRITTEN_BYTES:
-            self._leave_out()
+        if len(self._unwritten_bytes) > MAX_UNWRITTEN_BYTES:
+            self._drop_line()
             return
-        if self._unsaid:
-            said, self._unsaid = self._unsaid, 0
-            self._append({"message": "lines_left_out", "lines": said})
+        if self._unreported_lines:
+            unreported, self._unreported_lines = self._unreported_lines, 0
+            self._append({"message": "lines_left_out", "lines": unreported})
         self._append(self._fields(record))
         self._flush()
 
-    def _within_budget(self) -> bool:
-        second = int(self._monotonic())
-        if second != self._second:
-            self._second = second
-            self._lines = 0
-        self._lines += 1
-        return self._lines <= self._budget
+    def _within_rate_limit(self) -> bool:
+        current_second = int(self._monotonic())
+        if current_second != self._current_second:
+            self._current_second = current_second
+            self._lines_in_second = 0
+        self._lines_in_second += 1
+        return self._lines_in_second <= self._lines_per_second
 
-    def _leave_out(self) -> None:
+    def _drop_line(self) -> None:
         self.left_out += 1
-        self._unsaid += 1
+        self._unreported_lines += 1
 
     def _append(self, fields: dict[str, Any]) -> None:
-        head = {"time": round(time.time(), 3), "process": self._process}
-        self._unwritten += msgspec.json.encode(head | fields, enc_hook=str) + b"\n"
+        common = {"time": round(time.time(), 3), "process": self._process}
+        self._unwritten_bytes += msgspec.json.encode(common | fields, enc_hook=str) + b"\n"
 
     def _fields(self, record: Any) -> dict[str, Any]:
         fields: dict[str, Any] = {"level": record.level_name.lower(), "message": record.message}
@@ -87,21 +87,21 @@
 
     def _flush(self) -> None:
         try:
-            written = os.write(self._descriptor, self._unwritten)
+            written = os.write(self._descriptor, self._unwritten_bytes)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more: there is no place left to say so.
-            self._unwritten.clear()
+            # The reader has closed the pipe, so there is nowhere to report the error.
+            self._unwritten_bytes.clear()
             return
-        del self._unwritten[:written]
+        del self._unwritten_bytes[:written]
 
 
 def install_bounded_logs(process: str) -> BoundedLinesHandler:
-    """Send every log of the process to standard output.
+    """Send all log records of the process to standard output.
 
     Args:
-        process: Name of the process, which each line carries.
+        process: Name of the process, included in each line.
     """
     logbook.NullHandler().push_application()
     handler = BoundedLinesHandler(process)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_feed.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_feed.py
@@ -1,4 +1,4 @@
-"""Follows the configuration stream and publishes what is in force in this process."""
+"""Follows the configuration stream and provides the configuration in force to this process."""
 
 from __future__ import annotations
 
@@ -37,15 +37,17 @@
 
 CONFIGURATION_STREAM = "configuration"
 POLL_WAIT = timedelta(seconds=10)
-"""How long the log may hold a read while nothing is published."""
+"""How long a long-polling read may wait for new records."""
 CHECKPOINT_INTERVAL = timedelta(hours=1)
-"""Age of the newest whole state in the log at which it is renewed; a fraction of the retention."""
+"""Age of the newest full state in the log at which a checkpoint is written. It is a fraction of the
+log's retention, so that the state never expires from the log."""
 CHECKPOINT_JITTER = 0.5
-"""Share of the interval over which the processes spread their checkpoints."""
+"""Largest random extension of the checkpoint interval, as a fraction of it. It spreads the
+checkpoints of different processes over time."""
 
 
 class ConfigurationFeed:
-    """The configuration in force, kept up to date from the log, or from peers while it is down."""
+    """Keeps the configuration in force up to date, from the log or, in an outage, from peers."""
 
     def __init__(
         self,
@@ -64,8 +66,9 @@
             clock: The process's clock.
             random: Source of jitter.
             stream: Name of the stream.
-            poll_wait: How long a read at the end may be held.
-            checkpoint_interval: Age at which the state is renewed; None to never write.
+            poll_wait: How long a read at the end of the stream may wait for new records.
+            checkpoint_interval: Age of the newest full state at which a checkpoint is written; None
+                to write none.
         """
         self._log = log
         self._clock = clock
@@ -73,32 +76,32 @@
         self._stream = stream
         self._poll_wait = poll_wait
         self._checkpoint_interval = checkpoint_interval
-        self._checkpoint_share = 1.0 + random.random() * CHECKPOINT_JITTER
+        self._checkpoint_interval_factor = 1.0 + random.random() * CHECKPOINT_JITTER
         self._backoff = Backoff(random)
         self._state = FoldState()
-        self._kept: deque[ConfigurationRecord] = deque()
-        self._renewed_at = 0.0
+        self._retained: deque[ConfigurationRecord] = deque()
+        self._full_state_written_at = 0.0
         self._changed = trio.Event()
         self.log_reachable = False
-        """Whether the last read was answered."""
+        """Whether the last read of the log succeeded."""
 
     @property
     def current(self) -> Configuration | None:
-        """Return the configuration in force; None before any is known."""
+        """Return the configuration in force, or None if none is known yet."""
         return self._state.configuration
 
     @property
     def revision(self) -> int:
-        """Return the revision in force, -1 before any is known."""
+        """Return the revision in force, or -1 if none is known yet."""
         return self._state.revision
 
     @property
     def state(self) -> FoldState:
-        """Return the state of the fold."""
+        """Return the state computed from the records read so far."""
         return self._state
 
     async def changed(self) -> Configuration:
-        """Wait until another revision is in force and return it."""
+        """Wait until a new revision is in force and return its configuration."""
         await self._changed.wait()
         assert self._state.configuration is not None
         return self._state.configuration
@@ -108,7 +111,11 @@
         return self._state.configuration or await self.changed()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Follow the stream until cancelled; started as soon as the first read has ended."""
+        """Follow the stream until cancelled.
+
+        Args:
+            task_status: Started once the first attempt to catch up has ended.
+        """
         await self.catch_up()
         task_status.started()
         while True:
@@ -119,7 +126,7 @@
                 await trio.sleep(self._backoff.next_wait().total_seconds())
 
     async def catch_up(self) -> bool:
-        """Read to the end of the stream as it is now; return whether the log allowed it."""
+        """Read to the current end of the stream; return False if the log was unavailable."""
         while True:
             result = await self._read(timedelta(0))
             if isinstance(result, LogUnavailable):
@@ -128,31 +135,32 @@
                 return True
 
     def records_from(self, offset: int) -> tuple[ConfigurationRecord, ...]:
-        """Return the records kept here from an offset on, for a peer that is behind.
+        """Return the retained records from an offset on, for a peer that is behind.
 
-        Where older ones were dropped, the first is covered by a later checkpoint among them, so the
-        peer can still fold them from nothing.
+        If older records were dropped, the result contains a checkpoint that covers them. So the
+        peer can compute the state from these records alone.
         """
-        return tuple(each for each in self._kept if each.offset >= offset)
+        return tuple(each for each in self._retained if each.offset >= offset)
 
     def take_peer_records(self, records: Iterable[ConfigurationRecord]) -> bool:
-        """Fold records from a peer, as the log would have given them.
+        """Apply records received from a peer as if they had been read from the log.
 
         Returns:
-            Whether another revision is in force now.
+            Whether a new revision is in force.
         """
         ordered = sorted(records, key=lambda each: each.offset)
-        trial = self._state
+        candidate = self._state
         for record in ordered:
-            trial = apply(trial, RawRecord(record.offset, record.payload)).state
-        # Records that start after this process's position and hold no checkpoint would trade a
-        # state that is known for one that is not; the log will have what lies between.
-        if self._state.complete and not trial.complete:
+            candidate = apply(candidate, RawRecord(record.offset, record.payload)).state
+        # Records that leave a gap after this process's position and hold no checkpoint would
+        # replace a complete state by an incomplete one. The missing records are read from the log
+        # later.
+        if self._state.complete and not candidate.complete:
             return False
-        before = self._state.revision
+        previous_revision = self._state.revision
         for record in ordered:
             self._fold(record)
-        return self._state.revision > before
+        return self._state.revision > previous_revision
 
     async def _read(self, wait: timedelta) -> ReadResult:
         position = self._state.position
@@ -169,38 +177,38 @@
     def _fold(self, record: ConfigurationRecord) -> None:
         if record.offset < self._state.position:
             return
-        before = self._state.revision
+        previous_revision = self._state.revision
         step = apply(self._state, RawRecord(record.offset, record.payload))
         self._state = step.state
-        self._kept.append(record)
+        self._retained.append(record)
         for judged in step.judged:
-            self._note_renewal(judged)
-        if self._state.revision > before:
+            self._note_full_state(judged)
+        if self._state.revision > previous_revision:
             changed, self._changed = self._changed, trio.Event()
             changed.set()
 
-    def _note_renewal(self, judged: Judged) -> None:
-        """Note a record that holds a whole state, and drop what is older than its start."""
+    def _note_full_state(self, judged: Judged) -> None:
+        """Update the time of the newest full state, and drop records that a checkpoint covers."""
         entry = judged.entry
         if isinstance(entry, Publication) and isinstance(judged.verdict, Accepted):
-            self._renewed_at = max(self._renewed_at, entry.published_at)
+            self._full_state_written_at = max(self._full_state_written_at, entry.published_at)
         elif isinstance(entry, Checkpoint) and self._state.complete:
-            self._renewed_at = max(self._renewed_at, entry.written_at)
-            while self._kept and self._kept[0].offset < entry.through:
-                self._kept.popleft()
+            self._full_state_written_at = max(self._full_state_written_at, entry.written_at)
+            while self._retained and self._retained[0].offset < entry.through:
+                self._retained.popleft()
 
     def _checkpoint_due(self) -> bool:
         if self._checkpoint_interval is None or self._state.configuration is None:
             return False
-        age = self._clock.utc_now().timestamp() - self._renewed_at
-        return age > self._checkpoint_interval.total_seconds() * self._checkpoint_share
+        age = self._clock.utc_now().timestamp() - self._full_state_written_at
+        return age > self._checkpoint_interval.total_seconds() * self._checkpoint_interval_factor
 
     async def _write_checkpoint(self) -> None:
         written_at = self._clock.utc_now().timestamp()
         checkpoint = checkpoint_of(self._state, uuid.uuid4().hex, written_at)
         if checkpoint is None:
             return
-        # Whether the append took effect is seen when the record is read; until then no second one
-        # is written within the interval.
-        self._renewed_at = written_at
+        # Set before the result of the append is known, so that no second checkpoint is written
+        # within the interval. The record itself is seen when it is read back.
+        self._full_state_written_at = written_at
         await self._log.append(self._stream, encode_entry(checkpoint))
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_publisher.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_publisher.py
@@ -1,4 +1,8 @@
-"""Publishes configuration and switches presets, and says only what the log has shown."""
+"""Publishes configuration and switches presets.
+
+Each result is taken from the log: a record counts as accepted or refused only once it was read
+back.
+"""
 
 from __future__ import annotations
 
@@ -30,19 +34,20 @@
 
     from .record_log import AppendResult, Log
 
-SETTLE_LIMIT = timedelta(seconds=10)
-"""How long the own record is looked for after its append."""
+READ_BACK_TIMEOUT = timedelta(seconds=10)
+"""How long the publisher reads on to find its own record after the append."""
 READ_WAIT = timedelta(seconds=1)
+"""How long a long-polling read may wait for new records."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateLost:
-    """The records that tell what is in force ran out of the log."""
+    """The log no longer has the records from which the configuration in force is computed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PublishUnknown:
-    """Whether the record stands in the log, or will, is not known; the history will show it."""
+    """It is not known whether the record is or will be in the log; the history will show it."""
 
     record_id: str
 
@@ -51,14 +56,14 @@
 
 
 class ConfigurationPublisher:
-    """One operator's view of the configuration stream."""
+    """Reads and appends to the configuration stream on behalf of one operator."""
 
     def __init__(
         self,
         log: Log,
         clock: Clock,
         operator: str = "",
-        settle_limit: timedelta = SETTLE_LIMIT,
+        read_back_timeout: timedelta = READ_BACK_TIMEOUT,
         stream: str = CONFIGURATION_STREAM,
     ) -> None:
         """Create a publisher.
@@ -66,35 +71,35 @@
         Args:
             log: The platform's log.
             clock: The process's clock.
-            operator: Who publishes, for the history.
-            settle_limit: How long the own record is looked for.
+            operator: Name of the operator, recorded in the history.
+            read_back_timeout: How long to read on for the publisher's own record after an append.
             stream: Name of the stream.
         """
         self._log = log
         self._clock = clock
         self._operator = operator
-        self._settle_limit = settle_limit
+        self._read_back_timeout = read_back_timeout
         self._stream = stream
         self._state = FoldState()
         self._judged_by_offset: dict[int, Judged] = {}
-        self._published_by_revision: dict[int, Mapping[str, Any]] = {}
+        self._documents_by_revision: dict[int, Mapping[str, Any]] = {}
 
     @property
     def state(self) -> FoldState:
-        """Return the state as far as it was read."""
+        """Return the state computed from the records read so far."""
         return self._state
 
     @property
     def history(self) -> tuple[Judged, ...]:
-        """Return the records that the log still has, oldest first."""
+        """Return the evaluated records that were read from the log, oldest first."""
         return tuple(self._judged_by_offset[offset] for offset in sorted(self._judged_by_offset))
 
     def document_at(self, revision: int) -> Mapping[str, Any] | None:
-        """Return the document that was in force at a revision, if the log still tells."""
-        return self._published_by_revision.get(revision)
+        """Return the document in force at a revision, or None if the log no longer has it."""
+        return self._documents_by_revision.get(revision)
 
     async def catch_up(self) -> LogUnavailable | None:
-        """Read to the end of the stream; return what kept it from that."""
+        """Read to the end of the stream; return the error if the log is unavailable."""
         while True:
             result = await self._log.read(self._stream, self._state.position)
             if isinstance(result, LogUnavailable):
@@ -118,15 +123,15 @@
 
         Args:
             document: The document, already checked.
-            preset: The preset in force with it.
-            base: The revision it was made from; None to take effect whatever is in force.
-            note: A remark for the history.
+            preset: The preset to put in force with it.
+            base: The revision that the document was based on; None to publish unconditionally.
+            note: Remark for the history.
         """
         record_id = uuid.uuid4().hex
         entry = Publication(
-            record_id, base, preset, dict(document), self._operator, self._now(), note
+            record_id, base, preset, dict(document), self._operator, self._unix_time(), note
         )
-        return await self._append_and_judge(record_id, encode_entry(entry))
+        return await self._append_and_read_back(record_id, encode_entry(entry))
 
     async def use_preset(self, preset: str, base: int, note: str = "") -> PublishResult:
         """Put a preset in force.
@@ -134,31 +139,31 @@
         Args:
             preset: Name of the preset.
             base: The revision that the operator saw.
-            note: A remark for the history.
+            note: Remark for the history.
         """
         record_id = uuid.uuid4().hex
-        entry = PresetSwitch(record_id, base, preset, self._operator, self._now(), note)
-        return await self._append_and_judge(record_id, encode_entry(entry))
+        entry = PresetSwitch(record_id, base, preset, self._operator, self._unix_time(), note)
+        return await self._append_and_read_back(record_id, encode_entry(entry))
 
-    async def _append_and_judge(self, record_id: str, payload: bytes) -> PublishResult:
+    async def _append_and_read_back(self, record_id: str, payload: bytes) -> PublishResult:
         result = await self._log.append(self._stream, payload)
         if isinstance(result, LogUnavailable):
             return result
-        give_up_at = self._clock.monotonic() + self._settle_limit.total_seconds()
-        judged = await self._find(record_id, result, give_up_at)
+        deadline = self._clock.monotonic() + self._read_back_timeout.total_seconds()
+        judged = await self._read_back(record_id, result, deadline)
         if judged is None:
             return PublishUnknown(record_id)
         return StateLost() if isinstance(judged.verdict, Unjudged) else judged.verdict
 
-    async def _find(
-        self, record_id: str, appended: AppendResult, give_up_at: Instant
+    async def _read_back(
+        self, record_id: str, appended: AppendResult, deadline: Instant
     ) -> Judged | None:
-        """Read on until the own record is judged.
+        """Read on until the publisher's own record is evaluated; return None if it is not found.
 
-        After a lost reply the record may be there already, come later or never come; only reading
-        it tells. A second append could make one publication take effect twice.
+        After a lost reply the record may be in the log already, appear later, or never. Only
+        reading the log shows which. A second append could make one publication take effect twice.
         """
-        while self._clock.monotonic() < give_up_at:
+        while self._clock.monotonic() < deadline:
             for judged in self._judged_by_offset.values():
                 if judged.entry is not None and judged.entry.record_id == record_id:
                     return judged
@@ -178,7 +183,7 @@
         for judged in step.judged:
             self._judged_by_offset[judged.offset] = judged
         if self._state.document is not None:
-            self._published_by_revision[self._state.revision] = self._state.document
+            self._documents_by_revision[self._state.revision] = self._state.document
 
-    def _now(self) -> float:
+    def _unix_time(self) -> float:
         return self._clock.utc_now().timestamp()
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/fencing.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/fencing.py
@@ -1,4 +1,7 @@
-"""Gives an agent its fencing number: the log offset of its own start record."""
+"""Assigns an agent its fencing number: the log offset of its start record.
+
+Offsets only grow, so an agent that replaces another has the higher number.
+"""
 
 from __future__ import annotations
 
@@ -21,19 +24,21 @@
 
 
 class AgentStart(msgspec.Struct, frozen=True):
-    """Start record of an agent."""
+    """Record that an agent appends when it starts."""
 
     agent_id: str
-    """Name and incarnation."""
+    """Name and incarnation of the agent."""
     zone: str
     started_at: float
-    """Wall time in seconds since the epoch, for people who read the stream."""
+    """Wall-clock time in seconds since the epoch. Only for people who inspect the stream."""
 
 
 async def take_fencing_number(
     log: Log, clock: Clock, random: Random, agent_id: str, zone: str
 ) -> int:
-    """Append the agent's start record and return its offset; wait while the log is down.
+    """Append the agent's start record and return its offset.
+
+    Retries with backoff until the log accepts the record.
 
     Args:
         log: The platform's log.
@@ -49,7 +54,7 @@
         result = await log.append(AGENT_STARTS_STREAM, payload)
         if isinstance(result, Appended):
             return result.offset
-        # Unlike a claim, a start record whose reply was lost may simply be appended again: the
-        # later offset is higher than that of every agent that this one replaces, and the earlier
-        # one is used by nobody.
+        # Unlike a claim, a start record whose reply was lost can be appended again. The later
+        # offset is higher than that of every agent that this one replaces, and the earlier offset
+        # is never used.
         await trio.sleep(backoff.next_wait().total_seconds())
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/logs.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line on standard error, with the request and the trace it belongs to."""
+"""Structured logs on standard error: one JSON object a line, with the request and trace ids."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogContext:
-    """What a line is about; each request's task has its own."""
+    """Request and trace ids that are added to each log line of a task."""
 
     request_id: str = ""
     trace_id: str = ""
@@ -27,7 +27,7 @@
 
 
 def set_log_context(context: LogContext) -> None:
-    """Name the request that the current task, and what it starts, works for."""
+    """Set the log context of the current task and of the tasks that it starts later."""
     _context.set(context)
 
 
@@ -43,7 +43,8 @@
         """Write a record.
 
         Args:
-            record: The logbook record; its `extra` values become keys of the object.
+            record: The logbook record; its keyword arguments and `extra` values become keys of
+                the object.
         """
         self._stream.write(msgspec.json.encode(self._fields(record), enc_hook=str).decode() + "\n")
         self._stream.flush()
@@ -67,11 +68,11 @@
 
 
 def install_logs(process: str, level: LogLevel) -> None:
-    """Send every log of the process to standard error.
+    """Send the log records of the process to standard error.
 
     Args:
-        process: Name of the process, which each line carries.
-        level: Least severe level that is written.
+        process: Name of the process, included in each line.
+        level: Lowest level that is written.
     """
     logbook.set_datetime_format("utc")
     logbook.NullHandler().push_application()
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/members.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/members.py
@@ -1,6 +1,7 @@
-"""Who the VMs of a site are, as the platform tells it; an adapter of a platform provides the list.
+"""Interface to the platform's list of the VMs of a site, which a platform adapter implements.
 
-The list lags: it seeds and removes, and what a VM says of itself over a connection goes before it.
+The list lags behind the actual state. It is used to find new VMs and to remove those that are gone.
+What a VM reports about itself over a connection takes precedence over the list.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 
 
 class MemberRole(StrEnum):
-    """What runs on a VM."""
+    """Process that runs on a VM."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class MemberState(StrEnum):
-    """What the list says of a VM."""
+    """State of a VM in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One VM of the list."""
+    """One VM in the list."""
 
     name: str
     address: str
@@ -39,23 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """The list at one version."""
+    """Snapshot of the list at one version."""
 
     version: int
     by_name: dict[str, Member]
 
     def with_role(self, role: MemberRole) -> tuple[Member, ...]:
-        """Return the members of a role, by name."""
+        """Return the members with a role, sorted by name."""
         chosen = [each for each in self.by_name.values() if each.role is role]
         return tuple(sorted(chosen, key=lambda each: each.name))
 
 
 class MemberSource(Protocol):
-    """The list, followed, and this VM's own line in it."""
+    """Follows the list and maintains this VM's own entry in it."""
 
     @property
     def current(self) -> Members:
-        """The newest list; its version is -1 before the first."""
+        """The newest list; its version is -1 until a list was received."""
         ...
 
     async def changed(self) -> Members:
@@ -63,13 +64,17 @@
         ...
 
     def announce(self, member: Member) -> None:
-        """Put this VM on the list, or change what it says there."""
+        """Add this VM to the list, or update its entry."""
         ...
 
     async def leave(self) -> None:
-        """Take this VM off the list; without it the line lapses a few seconds later."""
+        """Remove this VM from the list. Without this call the entry expires a few seconds later."""
         ...
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Follow the list until cancelled; started as soon as the first call has ended."""
+        """Follow the list until cancelled.
+
+        Args:
+            task_status: Started once the first call to the platform has ended.
+        """
         ...
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/message_handlers.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/message_handlers.py
@@ -1,4 +1,7 @@
-"""Finds the `on_…` methods of a class by their decorator and calls them by message type."""
+"""Dispatches messages to the methods of a class by message type.
+
+Handler methods are marked with the `on` decorator.
+"""
 
 from __future__ import annotations
 
@@ -8,25 +11,25 @@
 Method = Callable[..., Any]
 MethodT = TypeVar("MethodT", bound=Method)
 
-_MESSAGE_TYPE = "_handled_message_type"
+_MESSAGE_TYPE_ATTRIBUTE = "_handled_message_type"
 
 
 def on(message_type: type) -> Callable[[MethodT], MethodT]:
     """Mark a method as the handler of a message type.
 
     Args:
-        message_type: Exact class of the messages.
+        message_type: Exact class of the messages; subclasses are not handled.
     """
 
     def mark(method: MethodT) -> MethodT:
-        setattr(method, _MESSAGE_TYPE, message_type)
+        setattr(method, _MESSAGE_TYPE_ATTRIBUTE, message_type)
         return method
 
     return mark
 
 
 class MessageHandlers:
-    """A class whose methods handle messages.
+    """Base class that dispatches messages to its marked methods.
 
     Example:
         >>> class Printer(MessageHandlers):
@@ -40,11 +43,11 @@
     handlers_by_type: ClassVar[dict[type, Method]] = {}
 
     def __init_subclass__(cls) -> None:
-        """Collect the marked methods of a subclass."""
+        """Register the marked methods of a subclass."""
         super().__init_subclass__()
         cls.handlers_by_type = dict(cls.handlers_by_type)
         for method in vars(cls).values():
-            message_type = getattr(method, _MESSAGE_TYPE, None)
+            message_type = getattr(method, _MESSAGE_TYPE_ATTRIBUTE, None)
             if message_type is not None:
                 cls.handlers_by_type[message_type] = method
 
@@ -53,10 +56,10 @@
 
         Args:
             message: The message.
-            *context: Passed on to the handler.
+            *context: Further arguments for the handler.
 
         Returns:
-            What the handler returns: an awaitable where it is asynchronous.
+            The handler's return value; an awaitable if the handler is asynchronous.
 
         Raises:
             UnhandledMessageError: The class has no handler for the type.
@@ -68,7 +71,7 @@
 
 
 class UnhandledMessageError(TypeError):
-    """No handler is marked for a message's type."""
+    """A class has no handler for the type of a message."""
 
     def __init__(self, message_type: type) -> None:
         super().__init__(message_type.__name__)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/order_book.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/order_book.py
@@ -1,8 +1,9 @@
-"""The agent's side of orders at most once: claims keys on the log and says who may send.
+"""Ensures, on the agent's side, that an order with an idempotency key is sent at most once.
 
-An order with a key is sent only after its own claim was read back as the winner, and only before
-its send deadline. Claims of one interval share a record (group commit). An append whose reply was
-lost is settled by reading; where it is repeated, it carries the same claims, never new ones.
+An agent claims the key in the log. It sends the order only after it has read its claim back as the
+winner, and only before the send deadline. Claims of one interval share a record (group commit). If
+the reply to an append is lost, reading the log shows whether it took effect. An append that is
+repeated carries the same claims, never new ones.
 """
 
 from __future__ import annotations
@@ -42,10 +43,11 @@
 
 __all__ = ["KeyedOrder", "OrderBook", "OrderBookSettings", "WonClaim"]
 
-READ_BACK_LIMIT = timedelta(milliseconds=500)
-"""Time after which a claim that was not read back yet is looked for on another connection."""
-ABANDONED_LIMIT = 10_000
-"""Most given-up claims remembered in case they come to stand in the log late."""
+READ_BACK_CHECK_INTERVAL = timedelta(milliseconds=500)
+"""Interval of the check for claims that were not read back. A claim that still waits at the second
+check is looked for on another connection."""
+MAX_ABANDONED_CLAIMS = 10_000
+"""Maximum number of abandoned claims that are remembered in case they reach the log late."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +58,7 @@
     key: str
     body_digest: bytes
     order_time: float = 0.0
-    """When the caller says the order was made, in seconds since the epoch; 0 where it does not."""
+    """Time of the order as given by the caller, in seconds since the epoch; 0 if not given."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +74,7 @@
 
 
 class OrderBook:
-    """Claims idempotency keys for one agent; `run` must be running."""
+    """Claims idempotency keys for one agent. The task `run` must be running."""
 
     def __init__(
         self,
@@ -102,28 +104,28 @@
         self._committer = ClaimCommitter(
             log, clock, random, agent_id, self._settings, self._read_to_end
         )
-        self._waiters_by_claim: dict[str, ClaimWaiter] = {}
-        self._abandoned_by_claim: OrderedDict[str, OrderKey] = OrderedDict()
-        self._open_by_claim: dict[str, WonClaim] = {}
+        self._waiters_by_claim_id: dict[str, ClaimWaiter] = {}
+        self._abandoned_keys_by_claim_id: OrderedDict[str, OrderKey] = OrderedDict()
+        self._unsent_claims_by_id: dict[str, WonClaim] = {}
         self._page_read = trio.Event()
         self._caught_up = False
 
     @property
     def available(self) -> bool:
-        """Return whether a new order could be claimed, as far as is known."""
+        """Return whether the log is known to accept new claims."""
         return self._caught_up and self._committer.available
 
     @property
     def ledger(self) -> OrderLedger:
-        """Return the keys as they are known here."""
+        """Return the ledger of keys, as read from the log so far."""
         return self._ledger
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Follow the stream and append claims until cancelled."""
         async with trio.open_nursery() as nursery:
-            await nursery.start(self._follow)
+            await nursery.start(self._follow_stream)
             nursery.start_soon(self._committer.run)
-            nursery.start_soon(self._watch_read_back)
+            nursery.start_soon(self._read_back_overdue_claims)
             task_status.started()
 
     async def claim(self, order: KeyedOrder, deadline: Instant) -> ClaimResult:
@@ -131,58 +133,61 @@
 
         Args:
             order: The order.
-            deadline: When the caller no longer waits, on the monotonic clock.
+            deadline: Time on the monotonic clock after which the caller no longer waits.
 
         Returns:
-            `WonClaim` if this submission, and no other, is to send the order. Else what to answer:
-            the recorded first outcome, `NotRun`, or `Unknown` where an earlier submission may have
-            been sent and its outcome is not recorded.
+            `WonClaim` if this submission, and no other, may send the order. Otherwise the answer
+            for the caller: the recorded outcome of the first submission, `NotRun`, or `Unknown` if
+            an earlier submission may have been sent and its outcome is not recorded.
         """
         send_window = self._settings.send_window.total_seconds()
         send_deadline = min(deadline, self._clock.monotonic() + send_window)
         order_key = OrderKey(order.account, order.key)
         while True:
             claim = Claim(uuid.uuid4().hex, order_key, order.body_digest, order.order_time)
-            known = self._ledger.judge(claim)
-            verdict = known or await self._append_and_wait(claim, send_deadline)
+            known_verdict = self._ledger.judge(claim)
+            verdict = known_verdict or await self._append_and_wait(claim, send_deadline)
             match verdict:
                 case Won():
                     won = WonClaim(claim.claim_id, order_key, send_deadline)
-                    self._open_by_claim[claim.claim_id] = won
+                    self._unsent_claims_by_id[claim.claim_id] = won
                     return won
                 case NotRun() | AlreadySettled():
                     return verdict
                 case KeyReused():
                     return NotRun(NotRunReason.KEY_REUSED)
                 case AlreadyClaimed():
-                    if not await self._wait_for_first(order_key, verdict.first_claim_id, deadline):
+                    if not await self._wait_for_first_claim(
+                        order_key, verdict.first_claim_id, deadline
+                    ):
                         return Unknown(UnknownReason.NO_RECORDED_OUTCOME)
 
     def begin_send(self, won: WonClaim) -> NotRun | None:
-        """Say whether the order may be written now; called directly before the write, once.
+        """Check that the order may still be sent. Call it once, directly before the write.
 
         Returns:
-            None if it may. From then on its outcome is never `NotRun`. Else the claim is released
-            and the order must not be written, now or later.
+            None if the order may be sent; from then on its outcome is never `NotRun`. Otherwise
+            the claim is released, and the order must not be sent now or later.
         """
-        if self._open_by_claim.pop(won.claim_id, None) is None:
+        if self._unsent_claims_by_id.pop(won.claim_id, None) is None:
             return NotRun(NotRunReason.WITHDRAWN)
-        # A holder that was paused (a stopped VM, a long collection) resumes here late: its caller
-        # has been told or given up. The monotonic clock went on meanwhile, so the check sees it.
-        # A pause after this check is harmless to the promise: no one else may send this order, and
-        # the entry says `Unknown` of an order whose body it has handed over.
+        # An agent that was paused (a stopped VM, a long garbage collection) may reach this line
+        # late, when its caller has an answer already or has given up. The monotonic clock advances
+        # during the pause, so the check detects it. A pause after this check cannot cause a second
+        # send: no other agent may send this order, and the entry answers `Unknown` for an order
+        # whose body it has handed over.
         if self._clock.monotonic() >= won.send_deadline:
             self._queue_release(won.claim_id, won.order_key, NotRunReason.DEADLINE)
             return NotRun(NotRunReason.DEADLINE, LOG_RETRY_AFTER)
         return None
 
     def release(self, won: WonClaim, reason: NotRunReason = NotRunReason.WITHDRAWN) -> bool:
-        """Give a won claim up before its order was sent, so that the key can be used again.
+        """Release a won claim before its order is sent, so that the key can be used again.
 
         Returns:
-            Whether it was given up; False after `begin_send`, when it is too late.
+            Whether the claim was released; False once `begin_send` was called.
         """
-        if self._open_by_claim.pop(won.claim_id, None) is None:
+        if self._unsent_claims_by_id.pop(won.claim_id, None) is None:
             return False
         self._queue_release(won.claim_id, won.order_key, reason)
         return True
@@ -195,14 +200,14 @@
         answer: bytes = b"",
         content_type: str = "",
     ) -> None:
-        """Record how a sent order ended; it is appended as soon as the log allows.
+        """Record the outcome of a sent order; it is appended as soon as the log accepts it.
 
         Args:
             won: The claim under which the order was sent.
-            outcome: How it ended; `NotRun` only where the write certainly did not happen.
-            status: The backend server's status.
-            answer: The backend server's answer; kept where it is short.
-            content_type: The answer's content type.
+            outcome: The outcome; `NotRun` only if the order was certainly not written.
+            status: Status code of the backend server's answer.
+            answer: Body of the backend server's answer; stored only if it is short.
+            content_type: Content type of the answer.
         """
         if isinstance(outcome, NotRun):
             self._queue_release(won.claim_id, won.order_key, outcome.reason)
@@ -220,24 +225,24 @@
         if refusal is not None:
             return refusal
         waiter = ClaimWaiter(claim)
-        self._waiters_by_claim[claim.claim_id] = waiter
+        self._waiters_by_claim_id[claim.claim_id] = waiter
         self._committer.queue_claim(waiter)
         try:
             with trio.move_on_after(max(0.0, send_deadline - self._clock.monotonic())):
                 await waiter.resolved.wait()
         except trio.Cancelled:
-            self._give_up(waiter)
+            self._abandon(waiter)
             raise
         finally:
-            del self._waiters_by_claim[claim.claim_id]
+            del self._waiters_by_claim_id[claim.claim_id]
         if waiter.result is None or isinstance(waiter.result, NotRun):
-            self._give_up(waiter)
+            self._abandon(waiter)
         return waiter.result
 
-    async def _wait_for_first(
+    async def _wait_for_first_claim(
         self, order_key: OrderKey, first_claim_id: str, deadline: Instant
     ) -> bool:
-        """Wait until an earlier claim of the key is settled or released; return whether it was."""
+        """Wait until the first claim of a key is settled or released; return False on a timeout."""
         wait = self._settings.repeat_wait.total_seconds()
         with trio.move_on_after(max(0.0, min(wait, deadline - self._clock.monotonic()))):
             while True:
@@ -247,60 +252,60 @@
                 await self._page_read.wait()
         return False
 
-    def _give_up(self, waiter: ClaimWaiter) -> None:
-        """Make sure that a submission which no longer waits is never sent.
+    def _abandon(self, waiter: ClaimWaiter) -> None:
+        """Ensure that the order of a submission that no longer waits is never sent.
 
-        Its claim may stand in the log or come to stand there; it is released when it is read.
+        Its claim may be in the log or may still reach it. It is released when it is read.
         """
         claim = waiter.claim
         if isinstance(waiter.result, Won):
             self._queue_release(claim.claim_id, claim.order_key, NotRunReason.WITHDRAWN)
             return
         waiter.resolve(NotRun(NotRunReason.DEADLINE, LOG_RETRY_AFTER))
-        self._note_abandoned(claim.claim_id, claim.order_key)
+        self._remember_abandoned(claim.claim_id, claim.order_key)
 
-    def _note_abandoned(self, claim_id: str, order_key: OrderKey) -> None:
-        self._abandoned_by_claim[claim_id] = order_key
-        if len(self._abandoned_by_claim) > ABANDONED_LIMIT:
-            self._abandoned_by_claim.popitem(last=False)
+    def _remember_abandoned(self, claim_id: str, order_key: OrderKey) -> None:
+        self._abandoned_keys_by_claim_id[claim_id] = order_key
+        if len(self._abandoned_keys_by_claim_id) > MAX_ABANDONED_CLAIMS:
+            self._abandoned_keys_by_claim_id.popitem(last=False)
 
     def _queue_release(self, claim_id: str, order_key: OrderKey, reason: NotRunReason) -> None:
-        # A claim that was appended twice may be read once more after its release, and win again.
-        self._note_abandoned(claim_id, order_key)
+        # A claim that was appended twice may be read again after its release, and would win again.
+        self._remember_abandoned(claim_id, order_key)
         self._committer.queue_settlement(settlement_of(claim_id, order_key, NotRun(reason)))
 
-    async def _follow(
+    async def _follow_stream(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Read the stream for ever and resolve own claims as they are read back."""
+        """Follow the stream until cancelled, and resolve own claims as they are read back."""
         backoff = Backoff(self._random)
         await self._read_to_end()
         task_status.started()
         while True:
-            # After an outage the first read must not be held, or claims would be refused until
-            # something is appended.
+            # After an outage the first read must not be a long poll. Otherwise claims would be
+            # refused until a record is appended.
             wait = self._settings.poll_wait if self._caught_up else timedelta(0)
             if isinstance(await self._read(wait), LogUnavailable):
                 await trio.sleep(backoff.next_wait().total_seconds())
             else:
                 backoff.reset()
 
-    async def _watch_read_back(self) -> None:
-        """Read aside where claims are not read back in time.
+    async def _read_back_overdue_claims(self) -> None:
+        """Start an extra read when claims are not read back in time.
 
-        The held read can be on a connection that went silent for good: it shows as claims that are
-        appended and never come back until that read times out. A read that begins now takes
-        another connection, as the silent one is in use.
+        The connection of the long-polling read can become silent without being closed. Then
+        appended claims are not read back until that read times out. A new read uses another
+        connection, because the silent one is in use.
         """
-        waiting: set[str] = set()
+        previously_waiting: set[str] = set()
         while True:
-            await trio.sleep(READ_BACK_LIMIT.total_seconds())
-            if waiting & self._waiters_by_claim.keys():
+            await trio.sleep(READ_BACK_CHECK_INTERVAL.total_seconds())
+            if previously_waiting & self._waiters_by_claim_id.keys():
                 await self._read_to_end()
-            waiting = set(self._waiters_by_claim)
+            previously_waiting = set(self._waiters_by_claim_id)
 
     async def _read_to_end(self) -> None:
-        """Read what the stream holds now, unless the log is down."""
+        """Read to the current end of the stream, or until the log is unavailable."""
         while True:
             result = await self._read(timedelta(0))
             if isinstance(result, LogUnavailable):
@@ -309,7 +314,7 @@
                 return
 
     async def _read(self, wait: timedelta) -> ReadResult:
-        """Read one page and take it in; reads may overlap, as records seen before are passed."""
+        """Read one page and apply it. Reads may overlap: the ledger skips records seen before."""
         result = await self._log.read(self._settings.stream, self._ledger.position, wait=wait)
         match result:
             case LogUnavailable():
@@ -317,29 +322,29 @@
             case OffsetExpired(first_offset=first_offset):
                 self._ledger.forget_before(first_offset)
             case LogPage(next_offset=next_offset):
-                self._take_page(result)
+                self._apply_page(result)
                 if self._ledger.position >= next_offset:
                     self._caught_up = True
-        read, self._page_read = self._page_read, trio.Event()
-        read.set()
+        page_read, self._page_read = self._page_read, trio.Event()
+        page_read.set()
         return result
 
-    def _take_page(self, page: LogPage) -> None:
+    def _apply_page(self, page: LogPage) -> None:
         for record in page.records:
             batch = self._ledger.apply(record.offset, record.payload)
             if batch is not None and batch.holder == self._agent_id:
                 for settlement in batch.settlements:
-                    self._committer.settlement_read(settlement)
+                    self._committer.confirm_settlement(settlement)
                 for claim in batch.claims:
-                    self._take_own_claim(claim)
+                    self._resolve_own_claim(claim)
         self._ledger.forget_before(page.first_offset)
 
-    def _take_own_claim(self, claim: Claim) -> None:
+    def _resolve_own_claim(self, claim: Claim) -> None:
         verdict = self._ledger.judge(claim)
-        waiter = self._waiters_by_claim.get(claim.claim_id)
+        waiter = self._waiters_by_claim_id.get(claim.claim_id)
         if waiter is not None and verdict is not None:
             waiter.resolve(verdict)
-        elif claim.claim_id in self._abandoned_by_claim and isinstance(verdict, Won):
-            # The record took effect after its submission was answered `NotRun`: without the
-            # release, the key would answer `Unknown` until it runs out of the log.
+        elif claim.claim_id in self._abandoned_keys_by_claim_id and isinstance(verdict, Won):
+            # The record took effect after its submission was answered `NotRun`. Without the
+            # release, the key would answer `Unknown` until the record expires from the log.
             self._queue_release(claim.claim_id, claim.order_key, NotRunReason.DEADLINE)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/platform_services.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/platform_services.py
@@ -1,4 +1,7 @@
-"""The platform's services, opened through the adapter that is installed beside the product."""
+"""Access to the platform's services through the installed platform adapter.
+
+An adapter is a separate package that registers a package entry point.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
     from .record_log import Log
 
 ADAPTER_GROUP = "ragwortwing.platform"
-"""Group of package entry points under which an adapter offers its `PlatformOpener`."""
+"""Package entry point group in which an adapter registers its `PlatformOpener`."""
 
 
 class PlatformServices(Protocol):
-    """What a process of the product uses of the platform."""
+    """Platform services that the processes use."""
 
     @property
     def log(self) -> Log:
@@ -32,18 +35,18 @@
 
 
 class PlatformOpener(Protocol):
-    """What an adapter offers."""
+    """Factory that an adapter registers."""
 
     def __call__(self, address: str) -> PlatformServices:
-        """Return the services behind an address, `ip:port`; nothing is called yet."""
+        """Return the services at an address, `ip:port`, without calling them yet."""
         ...
 
 
 class NoAdapterError(Exception):
-    """Not exactly one adapter of a platform is installed."""
+    """No platform adapter is installed, or more than one."""
 
     def __init__(self, found: tuple[str, ...]) -> None:
-        super().__init__(f"one adapter is needed in {ADAPTER_GROUP}, found: {list(found)}")
+        super().__init__(f"exactly one adapter is needed in {ADAPTER_GROUP}, found: {list(found)}")
         self.found = found
 
 
@@ -51,10 +54,10 @@
     """Open the platform's services through the installed adapter.
 
     Args:
-        address: Where the platform's log listens, as `ip:port`.
+        address: Address of the platform's log, as `ip:port`.
 
     Raises:
-        NoAdapterError: None is installed, or several.
+        NoAdapterError: No adapter is installed, or more than one.
     """
     found = tuple(entry_points(group=ADAPTER_GROUP))
     if len(found) != 1:
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/record_log.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/record_log.py
@@ -1,7 +1,8 @@
-"""What the product needs of an append-only log; an adapter of a platform provides it.
+"""Interface to the platform's append-only log, which a platform adapter implements.
 
-Each call is made once; who calls decides what to do next. An append whose answer is lost may have
-taken effect, now or later, so it has a result of its own, `AppendUnknown`, settled by reading.
+The log client does not retry; callers decide what to do after a failure. An append whose reply is
+lost may have taken effect already or may do so later. It has its own result, `AppendUnknown`, and
+only reading the log shows whether the record is there.
 """
 
 from __future__ import annotations
@@ -12,44 +13,45 @@
 from typing import Protocol
 
 DEFAULT_READ_LIMIT = 500
+"""Maximum number of records in one page."""
 DEFAULT_RETRY_AFTER = timedelta(seconds=1)
-"""When to come back after a failure for which the log names no time."""
+"""Retry delay after a failure for which the log gives none."""
 
 
 class LogCause(StrEnum):
-    """Why the log could not be used."""
+    """Reason why a call to the log failed."""
 
     UNREACHABLE = "unreachable"
     """No connection could be made."""
     OUTAGE = "outage"
-    """The log says that it is down."""
+    """The log reports an outage."""
     RATE = "rate"
-    """The append rate is used up."""
+    """The limit on the append rate is reached."""
     NO_ANSWER = "no_answer"
-    """No whole answer came in time."""
+    """No complete answer arrived in time."""
     BAD_ANSWER = "bad_answer"
-    """The answer was not of the published form."""
+    """The answer did not match the log's published API."""
     TOO_LARGE = "too_large"
-    """The record is larger than the log takes."""
+    """The record exceeds the log's size limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The record has this offset."""
+    """The record was appended at this offset."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class AppendUnknown:
-    """The record may stand in the log, may come to stand there later, or never."""
+    """The record may be in the log, may appear there later, or may never appear."""
 
     cause: LogCause
 
 
 @dataclass(frozen=True, slots=True)
 class LogUnavailable:
-    """The call took no effect."""
+    """The call failed and had no effect."""
 
     cause: LogCause
     retry_after: timedelta = DEFAULT_RETRY_AFTER
@@ -65,18 +67,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPage:
-    """Records from the offset asked for, in order and without gaps."""
+    """Records from the requested offset on, in order and without gaps."""
 
     first_offset: int
-    """Oldest offset that the stream still has."""
+    """Oldest offset that the stream still holds."""
     next_offset: int
-    """Offset that the next append gets; the end of the stream when the page was made."""
+    """Offset of the next append, i.e. the end of the stream when the page was read."""
     records: tuple[LogRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class OffsetExpired:
-    """The offset asked for is older than the log's retention."""
+    """The requested offset is no longer in the log because its retention time has passed."""
 
     first_offset: int
 
@@ -86,10 +88,10 @@
 
 
 class Log(Protocol):
-    """What the rest of the system needs of the log."""
+    """Append-only log with numbered records in named streams."""
 
     async def append(self, stream: str, payload: bytes) -> AppendResult:
-        """Append one record."""
+        """Append one record to a stream."""
         ...
 
     async def read(
@@ -99,5 +101,12 @@
         limit: int = DEFAULT_READ_LIMIT,
         wait: timedelta = timedelta(0),
     ) -> ReadResult:
-        """Read records from an offset on."""
+        """Read records from an offset on.
+
+        Args:
+            stream: Name of the stream.
+            offset: Offset of the first record.
+            limit: Maximum number of records.
+            wait: How long the log may wait for a record if there is none yet.
+        """
         ...
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/settings.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one process, read whole from its TOML file at start.
+"""Settings of one process, read from its TOML file at startup.
 
-What the whole site shares (classes, accounts, models, presets) is not here but in the published
-configuration; a settings file says where this process runs and whom it talks to.
+A settings file defines where a process runs and which services it connects to. What the whole site
+shares (classes, accounts, models, presets) is in the published configuration instead.
 """
 
 from __future__ import annotations
@@ -23,10 +23,11 @@
 
 
 LOOPBACK = Address("127.0.0.1", 0)
+"""Loopback address with a port chosen by the kernel."""
 
 
 class LogLevel(StrEnum):
-    """Least severe level that is logged."""
+    """Lowest level that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Where the platform's services listen."""
+    """Addresses of the platform's services."""
 
     log: HttpUrl
     """Base URL of the append-only log service, which also keeps the list of VMs."""
@@ -48,64 +49,66 @@
 
     log_level: LogLevel = LogLevel.INFO
     collector: HttpUrl | None = None
-    """Base URL of an OTLP/HTTP collector; without it no span leaves the process."""
+    """Base URL of an OTLP/HTTP collector; without it no spans are exported."""
     flush_interval: PositiveDuration = timedelta(seconds=2)
-    """Time between two batches of spans."""
+    """Time between two exports of spans."""
     span_buffer: Annotated[int, Between(1, 1_000_000)] = 4096
-    """Finished spans kept for the next batch; the oldest are dropped first."""
+    """Maximum number of finished spans kept for the next export; the oldest are dropped first."""
     sample_ratio: Annotated[float, Between(0.0, 1.0)] = 1.0
-    """Share of the requests without a trace of their own that are traced."""
+    """Fraction of the requests that are traced, of those that carry no trace context."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """Connections between entry and agent."""
+    """Connections between entries and agents."""
 
     rising_keys: ClassVar = ("heartbeat_interval", "heartbeat_timeout")
 
     heartbeat_interval: PositiveDuration = timedelta(milliseconds=500)
+    """Time between two heartbeats on a connection."""
     heartbeat_timeout: PositiveDuration = timedelta(seconds=2)
-    """Silence after which a connection is dropped and dialled anew."""
+    """Time without received data after which a connection is closed and opened again."""
     redial_interval: PositiveDuration = timedelta(milliseconds=250)
-    """Time between two attempts after the first one failed."""
+    """Time between two connection attempts after the first one failed."""
     stream_window: Annotated[int, Between(1_024, 67_108_864)] = 262_144
-    """Bytes of one answer that may be under way or held for a slow reader."""
+    """Maximum number of bytes of one answer in transit or buffered for a slow reader."""
     reattach_limit: PositiveDuration = timedelta(seconds=10)
-    """How long a running answer is kept for a reader whose connection was lost."""
+    """How long a running answer is kept for an entry whose connection was lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSettings:
-    """The planned stop."""
+    """Graceful shutdown."""
 
     limit: PositiveDuration = timedelta(seconds=120)
-    """Time for requests in flight to finish; what still runs then is cut and named in the log."""
+    """Time that requests in flight have to finish. Then they are aborted, and their ids logged."""
     leaving_delay: timedelta = timedelta(0)
-    """Time for which an entry that is not ready any more still takes requests, so that the balancer
-    can notice."""
+    """Time for which an entry still accepts requests after it reports that it is not ready, so that
+    the load balancer can notice."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryListenSettings:
-    """Where an entry listens."""
+    """Listen addresses of an entry."""
 
     http: Address
-    """Address for callers; port 0 lets the kernel choose."""
+    """Address for callers; with port 0 the kernel chooses the port."""
     operator: Address = LOOPBACK
-    """Address for the operator's commands, which callers must not reach."""
+    """Address for the operator's commands. It must not be reachable by callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimitSettings:
-    """How much an entry takes from callers."""
+    """Limits on the requests that an entry accepts."""
 
     body_bytes: Annotated[int, Between(1, 1_073_741_824)] = 4_194_304
+    """Maximum size of a request body."""
     header_bytes: Annotated[int, Between(1_024, 1_048_576)] = 32_768
-    """Bytes of all header names and values of one request."""
+    """Maximum total size of the header names and values of one request."""
     open_requests: Annotated[int, Between(1, 100_000)] = 2_000
-    """Requests in flight in this process."""
+    """Maximum number of requests in flight in this process."""
     keep_alive_interval: PositiveDuration = timedelta(seconds=5)
-    """Time between two comments in a stream that waits for its first token."""
+    """Time between two keep-alive comments in an event stream that waits for its first token."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,19 +127,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentListenSettings:
-    """Where an agent listens."""
+    """Listen addresses of an agent."""
 
     wire: Address
-    """Address for entries; port 0 lets the kernel choose."""
+    """Address for entries; with port 0 the kernel chooses the port."""
     http: Address
     """Address for status, drain and metrics."""
     advertised: Address | None = None
-    """Address under which entries reach the agent, where it is not the one it listens on."""
+    """Address at which entries reach the agent, if it differs from the listen address."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackendSettings:
-    """The backend server beside an agent."""
+    """Backend server that an agent runs requests on."""
 
     rising_keys: ClassVar = ("initial_concurrency", "maximum_concurrency")
 
@@ -145,11 +148,12 @@
     targets: Annotated[tuple[Text, ...], Between(1, 1_000)]
     """Models, or services, that the backend server serves."""
     initial_concurrency: Annotated[int, Between(1, 10_000)] = 16
-    """Requests run at one time before anything was learned."""
+    """Concurrency limit at the start, before it is adapted to the backend server."""
     maximum_concurrency: Annotated[int, Between(1, 10_000)] = 256
+    """Upper bound of the adaptive concurrency limit."""
     connect_timeout: PositiveDuration = timedelta(seconds=2)
     fenced: bool = False
-    """Whether the backend server refuses orders that carry an old fencing number."""
+    """Whether the backend server refuses orders with an outdated fencing number."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/settings_reader.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/settings_reader.py
@@ -1,4 +1,7 @@
-"""Reads a TOML file into frozen data classes and lists every fault of the file at once."""
+"""Reads a TOML settings file into frozen data classes.
+
+All faults of a file are collected, so that the operator can correct them at once.
+"""
 
 from __future__ import annotations
 
@@ -20,16 +23,16 @@
     from collections.abc import Callable, Iterator
     from pathlib import Path
 
-DURATION_FORM = 'a duration such as "250ms", "1.5s", "2m" or "1h"'
-"""What is allowed where a duration is wanted."""
+DURATION_FORMAT = 'a duration such as "250ms", "1.5s", "2m" or "1h"'
+"""Description of a valid duration in messages to the operator."""
 
 FAULTY_SETTINGS_EXIT_CODE = 2
-"""Exit code of a process whose settings have faults."""
+"""Exit code of a process whose settings are invalid."""
 
 SettingsT = TypeVar("SettingsT")
 
 MISSING_VALUE = "(missing)"
-"""Shown as the value of a key that has to be given."""
+"""Shown as the value of a required key that is missing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +43,7 @@
     port: int
 
     def __str__(self) -> str:
-        """Return the form that settings use.
+        """Return the address as written in settings.
 
         Example:
             >>> str(Address("::1", 80))
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpUrl:
-    """Base URL of a service that is reached by IP address over HTTP."""
+    """Base URL of an HTTP service, with an IP address as its host."""
 
     address: Address
 
@@ -63,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsFault:
-    """One fault of a settings file."""
+    """One invalid, missing or unknown key of a settings file."""
 
     key: str
     """Dotted path of the key."""
     value: object
     allowed: str
-    """What may stand there."""
+    """Description of the allowed values."""
 
     def __str__(self) -> str:
         """Return the fault as one line for the operator."""
@@ -78,13 +81,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultySettings:
-    """The file cannot be used; every fault is listed."""
+    """Result for a file that cannot be used, with all its faults."""
 
     faults: tuple[SettingsFault, ...]
 
 
 class NotAllowedError(ValueError):
-    """A value breaks its key's rule."""
+    """A value violates the type or rule of its key."""
 
     def __init__(self, value: object, allowed: str) -> None:
         super().__init__(f"{value!r}: {allowed}")
@@ -94,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Between:
-    """A number, or the length of a list, within bounds."""
+    """Rule: a number, or the length of a list, lies within inclusive bounds."""
 
     low: float
     high: float
@@ -102,31 +105,31 @@
     allowed = property(lambda self: f"from {self.low:,} to {self.high:,}")
 
     def holds(self, value: Any) -> bool:
-        """Return whether a value keeps the rule."""
+        """Return whether a value satisfies the rule."""
         return bool(self.low <= (len(value) if isinstance(value, tuple) else value) <= self.high)
 
 
 @dataclass(frozen=True, slots=True)
 class LongerThan:
-    """A duration above a bound."""
+    """Rule: a duration is greater than a lower bound."""
 
     low: timedelta
 
     allowed = property(lambda self: f"above {format_duration(self.low) if self.low else 'zero'}")
 
     def holds(self, value: Any) -> bool:
-        """Return whether a value keeps the rule."""
+        """Return whether a value satisfies the rule."""
         return bool(value > self.low)
 
 
 @dataclass(frozen=True, slots=True)
 class Name:
-    """A name of printable characters without spaces."""
+    """Rule: a name consists of printable characters without spaces."""
 
     allowed = property(lambda self: "printable characters without spaces, at least one")
 
     def holds(self, value: Any) -> bool:
-        """Return whether a value keeps the rule."""
+        """Return whether a value satisfies the rule."""
         return value.isprintable() and bool(value) and " " not in value
 
 
@@ -134,14 +137,14 @@
 
 
 def read_settings(path: Path, settings_type: type[SettingsT]) -> SettingsT | FaultySettings:
-    """Read a settings file whole.
+    """Read and check a settings file.
 
     Args:
         path: The TOML file.
-        settings_type: The frozen data class that the file describes.
+        settings_type: The frozen data class to create.
 
     Returns:
-        The settings, or every fault of the file.
+        The settings, or all faults of the file.
     """
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -155,14 +158,14 @@
 def structure_settings(
     table: dict[str, Any], settings_type: type[SettingsT]
 ) -> SettingsT | FaultySettings:
-    """Check a parsed table against a settings class.
+    """Check a parsed table and create the settings from it.
 
     Args:
         table: The parsed TOML.
-        settings_type: The frozen data class that the table describes.
+        settings_type: The frozen data class to create.
 
     Returns:
-        The settings, or every fault of the table.
+        The settings, or all faults of the table.
     """
     try:
         return _CONVERTER.structure(table, settings_type)
@@ -184,14 +187,14 @@
 
 def _class_faults(error: ClassValidationError, key: str) -> Iterator[SettingsFault]:
     prefix = f"{key}." if key else ""
-    placed, others = error.group_exceptions()
-    for item, note in placed:
+    field_errors, table_errors = error.group_exceptions()
+    for item, note in field_errors:
         child = f"{prefix}{note.name}"
         if isinstance(item, KeyError):
             yield SettingsFault(child, MISSING_VALUE, _describe(note.type))
         else:
             yield from _faults(item, child)
-    for item in others:
+    for item in table_errors:
         if not isinstance(item, ForbiddenExtraKeysError):
             yield from _faults(item, key)
             continue
@@ -212,21 +215,21 @@
         return "a table"
     if isinstance(kind, type) and issubclass(kind, StrEnum):
         return "one of " + ", ".join(f'"{each}"' for each in kind)
-    return _FORMS_BY_TYPE.get(kind, str(kind))
+    return _DESCRIPTIONS_BY_TYPE.get(kind, str(kind))
 
 
-_FORMS_BY_TYPE: dict[Any, str] = {
+_DESCRIPTIONS_BY_TYPE: dict[Any, str] = {
     str: "a string",
     int: "a whole number",
     float: "a number",
     bool: "true or false",
-    timedelta: DURATION_FORM,
+    timedelta: DURATION_FORMAT,
     Address: 'an IP address with a port, such as "10.0.0.1:8080"',
     HttpUrl: 'a URL by IP address, such as "http://10.0.0.1:8080"',
 }
 
 
-def _structure_exactly(value: Any, kind: type) -> Any:
+def _structure_exact_type(value: Any, kind: type) -> Any:
     if type(value) is not kind:
         raise NotAllowedError(value, _describe(kind))
     return value
@@ -242,11 +245,11 @@
     try:
         return parse_duration(value)
     except (DurationError, TypeError):
-        raise NotAllowedError(value, DURATION_FORM) from None
+        raise NotAllowedError(value, DURATION_FORMAT) from None
 
 
 def parse_address(text: object) -> Address | None:
-    """Return the address that a text names, None where it names none.
+    """Parse an address; return None if the text is not a valid one.
 
     Example:
         >>> parse_address("10.0.0.1:80")
@@ -309,7 +312,8 @@
 
 
 def _table_hook(kind: Any) -> Callable[[Any, Any], Any]:
-    # cattrs resolves annotations without their rules, so the fields get the whole types first.
+    # cattrs resolves annotations without `Annotated` metadata, which holds the rules. So the field
+    # types are replaced by the full annotations first.
     hints = get_type_hints(kind, include_extras=True)
     for each in fields(kind):
         each.type = hints[each.name]
@@ -321,14 +325,14 @@
         if not isinstance(value, dict):
             raise NotAllowedError(value, "a table")
         settings = structure_table(value, kind)
-        _check_rising(settings)
+        _check_rising_keys(settings)
         return settings
 
     return structure
 
 
-def _check_rising(settings: Any) -> None:
-    """Refuse a table whose class names two keys of which the first may not be above the second."""
+def _check_rising_keys(settings: Any) -> None:
+    """Reject a table in which the first of the class's `rising_keys` is above the second."""
     keys = getattr(settings, "rising_keys", None)
     if keys is None:
         return
@@ -351,7 +355,7 @@
     converter.register_structure_hook_factory(_is_tuple, _tuple_hook)
     converter.register_structure_hook_factory(_is_annotated, _annotated_hook)
     for kind in (str, int, bool):
-        converter.register_structure_hook(kind, _structure_exactly)
+        converter.register_structure_hook(kind, _structure_exact_type)
     converter.register_structure_hook(StrEnum, _structure_enum)
     converter.register_structure_hook(float, _structure_float)
     converter.register_structure_hook(timedelta, _structure_duration)
@@ -365,7 +369,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsKey:
-    """One key of a settings class, for the reference page."""
+    """Description of one key of a settings class, for the reference documentation."""
 
     key: str
     allowed: str
@@ -373,11 +377,11 @@
 
 
 def settings_keys(settings_type: Any, prefix: str = "") -> Iterator[SettingsKey]:
-    """Return every key of a settings class, in the order of the class.
+    """Yield every key of a settings class, in the order of its fields.
 
     Args:
         settings_type: A settings data class.
-        prefix: Path of the table that the class describes.
+        prefix: Dotted path of the table that the class describes, with a trailing dot.
     """
     hints = get_type_hints(settings_type, include_extras=True)
     for each in fields(settings_type):
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/system_clock.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/system_clock.py
@@ -11,16 +11,16 @@
 
 
 class SystemClock:
-    """The operating system's clocks; the monotonic one goes on while the process is stopped."""
+    """Clocks of the operating system; the monotonic one advances while the process is stopped."""
 
     def monotonic(self) -> Instant:
         """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def boot_time(self) -> Instant:
-        """Return the time since boot in seconds, suspensions included."""
+        """Return the time since boot in seconds, including time while suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def utc_now(self) -> datetime:
-        """Return the wall time in UTC."""
+        """Return the wall-clock time in UTC."""
         return datetime.now(UTC)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/tcp_sockets.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/tcp_sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets as every connection of the adapter uses them."""
+"""TCP sockets with the options that all connections of the platform adapter share."""
 
 from __future__ import annotations
 
@@ -8,29 +8,32 @@
 
 import trio
 
-KEEPALIVE_IDLE = 1
-"""Seconds without traffic before the kernel probes a peer.
+KEEPALIVE_IDLE_S = 1
+"""Seconds without traffic before the kernel sends the first keepalive probe.
 
-A connection that something between the ends has forgotten stays silent for good; only probes (and
-the user timeout, where data is on its way) end it. Three probes end it within 3 s, so that what
-waits on it (a long poll of the store) is started again while the promises still hold."""
+If a device on the path drops the state of a connection, the connection stays silent for good. Only
+keepalive probes end it, or the user timeout if sent data is unacknowledged. With 1 s of idle time
+and two probes 1 s apart, it ends within 3 s. So whatever waits on it (a long poll of the store) can
+start again while the system's guarantees still hold."""
 
-KEEPALIVE_INTERVAL = 1
+KEEPALIVE_INTERVAL_S = 1
+"""Seconds between two keepalive probes."""
 KEEPALIVE_PROBES = 2
+"""Unanswered probes after which the kernel closes the connection."""
 
 USER_TIMEOUT_MS = 2500
-"""Milliseconds for which sent data may stay unacknowledged before the connection is given up."""
+"""Milliseconds for which sent data may stay unacknowledged before the connection is closed."""
 
 RECEIVE_BYTES = 65536
-"""Most bytes taken from a socket at once."""
+"""Maximum number of bytes read from a socket at once."""
 
 
 def prepare(sock: trio.socket.SocketType) -> None:
-    """Set the options that every connection has."""
+    """Set the socket options that all connections use."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
@@ -39,7 +42,7 @@
     """Open a connection.
 
     Raises:
-        OSError: The other end does not take it.
+        OSError: The connection could not be established.
     """
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -61,10 +64,10 @@
 
 
 async def send_all(sock: trio.socket.SocketType, data: bytes) -> None:
-    """Send every byte.
+    """Send all data.
 
     Raises:
-        OSError: The connection has ended.
+        OSError: The connection is closed or broken.
     """
     sent = await sock.send(data)
     if sent == len(data):
@@ -75,14 +78,14 @@
 
 
 def is_quiet(sock: trio.socket.SocketType) -> bool:
-    """Return whether nothing has come on an idle connection: no byte, no end, no error."""
+    """Return whether an idle connection has no unread data, end of stream or error."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN | select.POLLERR | select.POLLHUP)
     return not poll.poll(0)
 
 
 def reset(sock: trio.socket.SocketType) -> None:
-    """Close a connection so that the peer sees a reset, not an ordinary end."""
+    """Close a connection with a TCP reset instead of an orderly end of stream."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     finally:
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/telemetry.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/telemetry.py
@@ -1,7 +1,7 @@
-"""Metrics and traces by OpenTelemetry, on the loop's own thread.
+"""Metrics and traces with OpenTelemetry, without additional threads.
 
-The library's periodic reader and batch processor start threads. So metrics are collected when they
-are scraped, and finished spans wait in memory until a trio task sends them.
+OpenTelemetry's periodic metric reader and batch span processor start threads. Here metrics are
+collected when they are scraped, and finished spans are buffered until a trio task exports them.
 """
 
 from __future__ import annotations
@@ -35,12 +35,14 @@
 log = logbook.Logger("telemetry")
 
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+"""Content type of the Prometheus text format."""
 TRACEPARENT = "traceparent"
+"""Name of the W3C trace context header."""
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
 class SpanBuffer(SpanProcessor):  # type: ignore[misc]
-    """Keeps finished spans, the newest up to a limit."""
+    """Buffers finished spans up to a limit; beyond it the oldest are dropped."""
 
     def __init__(self, limit: int) -> None:
         self._spans: deque[ReadableSpan] = deque(maxlen=limit)
@@ -49,11 +51,11 @@
         return len(self._spans)
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Keep a span that has ended."""
+        """Add a finished span to the buffer."""
         self._spans.append(span)
 
     def take(self) -> list[ReadableSpan]:
-        """Return the spans kept and forget them."""
+        """Remove and return all buffered spans."""
         spans = list(self._spans)
         self._spans.clear()
         return spans
@@ -75,35 +77,35 @@
         reader = PrometheusMetricReader(registry=self._registry, scope_info_enabled=False)
         meters = MeterProvider([reader], resource=resource, shutdown_on_exit=False)
         self.meter: Meter = meters.get_meter(service)
-        """Makes the process's instruments."""
+        """Creates the metric instruments of the process."""
         self.spans = SpanBuffer(settings.span_buffer)
-        """Finished spans that were not sent yet."""
+        """Finished spans that were not exported yet."""
         sampler = ParentBased(TraceIdRatioBased(settings.sample_ratio))
         tracers = TracerProvider(sampler=sampler, resource=resource, shutdown_on_exit=False)
         tracers.add_span_processor(self.spans)
         self._tracer = tracers.get_tracer(service)
 
     def metrics_text(self) -> bytes:
-        """Collect all metrics now, in Prometheus text form."""
+        """Collect all metrics and return them in the Prometheus text format."""
         return bytes(generate_latest(self._registry))
 
     def start_span(self, name: str, kind: SpanKind, traceparent: str = "") -> Span:
-        """Start the span of this hop.
+        """Start a span.
 
         Args:
-            name: What the hop does.
-            kind: Server for a hop that was called, client for one that calls.
-            traceparent: W3C trace context of the caller, empty where there is none.
+            name: Name of the operation.
+            kind: `SERVER` for the receiving side of a call, `CLIENT` for the calling side.
+            traceparent: W3C trace context of the caller, or empty if there is none.
 
         Returns:
-            A span, which its owner ends.
+            The span. The caller of this method must end it.
         """
         parent = _PROPAGATOR.extract({TRACEPARENT: traceparent})
         return self._tracer.start_span(name, context=parent, kind=kind)
 
     @contextmanager
     def span(self, name: str, kind: SpanKind, traceparent: str = "") -> Iterator[Span]:
-        """Run a block as the span of this hop."""
+        """Run a block within a span; see `start_span` for the arguments."""
         span = self.start_span(name, kind, traceparent)
         try:
             yield span
@@ -111,7 +113,7 @@
             span.end()
 
     async def send_spans(self) -> None:
-        """Send finished spans to the collector at every interval, for ever."""
+        """Export finished spans to the collector at a fixed interval until cancelled."""
         collector = self._settings.collector
         if collector is None:
             return
@@ -121,7 +123,7 @@
                 await self._send_batch(pool, collector)
 
     async def flush(self) -> None:
-        """Send what is left, before the process stops."""
+        """Export the remaining spans before the process stops."""
         if self._settings.collector is not None:
             async with httpcore.AsyncConnectionPool() as pool:
                 await self._send_batch(pool, self._settings.collector)
@@ -141,20 +143,21 @@
                 extensions={"timeout": timeouts},
             )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-            # A collector that is down must not hold memory, so its batch is lost, and said to be.
-            log.warning("Spans were not sent", spans=len(spans), error=type(error).__name__)
+            # The batch is dropped and the loss logged. Otherwise spans would accumulate in memory
+            # while the collector is down.
+            log.warning("Failed to export spans", spans=len(spans), error=type(error).__name__)
             return
         if response.status >= 300:
-            log.warning("Spans were refused", spans=len(spans), status=response.status)
+            log.warning("Collector refused spans", spans=len(spans), status=response.status)
 
 
 def traceparent_of(span: Span) -> str:
-    """Return the W3C trace context that makes a span the parent of the next hop's."""
+    """Return the W3C trace context that propagates a span to the next process as the parent."""
     carrier: dict[str, str] = {}
     _PROPAGATOR.inject(carrier, context=trace.set_span_in_context(span))
     return carrier.get(TRACEPARENT, "")
 
 
 def trace_id_of(span: Span) -> str:
-    """Return a span's trace id in hexadecimal."""
+    """Return the trace id of a span in hexadecimal."""
     return str(trace.format_trace_id(span.get_span_context().trace_id))
--- a/packages/ragwortwing-runtime/tests/test_configuration_feed.py
+++ b/packages/ragwortwing-runtime/tests/test_configuration_feed.py
@@ -1,4 +1,4 @@
-"""The feed follows the log, catches up from peers without it, and never goes back."""
+"""Tests of the configuration feed: following the log, catching up from peers, never going back."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     log.append("configuration", encode_entry(PresetSwitch(f"s{base}", base, preset)))
 
 
-def feed_for(address: str, checkpoint_interval: timedelta | None = None) -> ConfigurationFeed:
+def make_feed(address: str, checkpoint_interval: timedelta | None = None) -> ConfigurationFeed:
     return ConfigurationFeed(
         StoreServices(address).log,
         SystemClock(),
@@ -55,7 +55,7 @@
 
 @asynccontextmanager
 async def running_feed(address: str) -> AsyncIterator[ConfigurationFeed]:
-    feed = feed_for(address)
+    feed = make_feed(address)
     async with trio.open_nursery() as nursery:
         await nursery.start(feed.run)
         yield feed
@@ -75,11 +75,11 @@
         assert feed.current.preset == "peak"
 
 
-async def test_a_fresh_process_in_an_outage_catches_up_from_a_peer() -> None:
-    """The log is down for an hour and a VM is replaced meanwhile.
+async def test_a_new_process_catches_up_from_a_peer_during_a_log_outage() -> None:
+    """Guards against a process that refuses all callers when its VM is replaced in a log outage.
 
-    The new process cannot read the stream; without its peers it would refuse every caller until the
-    log is back. Back on the log it goes on where the peer's records ended.
+    The outage may last an hour. The new process cannot read the stream, so it takes the records of
+    a peer. Once the log is back, it goes on after the peer's last record.
     """
     async with running_store() as (standin, address), running_feed(address) as peer:
         publish(standin.log)
@@ -100,29 +100,29 @@
                     await fresh.changed()
 
 
-async def test_a_process_behind_a_trimmed_log_keeps_what_is_in_force_until_it_knows_more() -> None:
+async def test_a_feed_behind_a_trimmed_log_keeps_its_state_until_it_reads_a_checkpoint() -> None:
     async with running_store() as (standin, address):
-        feed = feed_for(address)
+        feed = make_feed(address)
         publish(standin.log)
         assert await feed.catch_up()
         switch(standin.log, 0, "peak")
-        other = feed_for(address, timedelta(0))
+        other = make_feed(address, timedelta(0))
         assert await other.catch_up()
         await other._write_checkpoint()
         standin.log.stream("configuration").trim_before(2)
         assert await feed.catch_up()
         assert (feed.revision, feed.state.complete) == (1, True)
-        fresh = feed_for(address)
+        fresh = make_feed(address)
         assert await fresh.catch_up()
         assert fresh.current == feed.current
 
 
-async def test_records_of_a_peer_that_leave_a_gap_are_not_taken() -> None:
+async def test_peer_records_that_leave_a_gap_are_rejected() -> None:
     async with running_store() as (standin, address):
-        feed = feed_for(address)
+        feed = make_feed(address)
         publish(standin.log)
         assert await feed.catch_up()
-        peer = feed_for(address)
+        peer = make_feed(address)
         switch(standin.log, 0, "peak")
         switch(standin.log, 1, "ordinary")
         assert await peer.catch_up()
@@ -134,10 +134,10 @@
         assert feed.revision == 2
 
 
-async def test_the_state_is_renewed_before_its_records_run_out() -> None:
+async def test_a_checkpoint_is_written_before_the_records_expire() -> None:
     async with running_store() as (standin, address):
         publish(standin.log)
-        feed = feed_for(address, timedelta(0))
+        feed = make_feed(address, timedelta(0))
         async with trio.open_nursery() as nursery:
             await nursery.start(feed.run)
             stream = standin.log.stream("configuration")
--- a/packages/ragwortwing-runtime/tests/test_configuration_publisher.py
+++ b/packages/ragwortwing-runtime/tests/test_configuration_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher says accepted, conflict or unknown only as the log has shown it."""
+"""Tests of the configuration publisher: results reflect what was read back from the log."""
 
 from __future__ import annotations
 
@@ -31,7 +31,9 @@
 
 
 @pytest.mark.parametrize(("faults", "expected", "records"), FAULT_CASES)
-def test_publish_under_fault(faults: LogFaults, expected: type, records: int) -> None:
+def test_publish_result_matches_the_log_under_faults(
+    faults: LogFaults, expected: type, records: int
+) -> None:
     async def scenario() -> tuple[object, int]:
         clock = TrioClock()
         stored = RecordLog(clock)
@@ -48,13 +50,13 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_of_racing_operators_exactly_one_wins(seed: int) -> None:
+def test_exactly_one_of_several_concurrent_operators_wins(seed: int) -> None:
     async def scenario() -> list[object]:
         clock = TrioClock()
         results: list[object] = []
         random = Random(seed)
 
-        async def operate(log: InMemoryLog) -> None:
+        async def switch_preset(log: InMemoryLog) -> None:
             publisher = ConfigurationPublisher(log, clock)
             await publisher.catch_up()
             await trio.sleep(random.random())
@@ -67,7 +69,7 @@
             assert await first.publish(DOCUMENT, "ordinary", NO_REVISION) == Accepted(0, "ordinary")
             async with trio.open_nursery() as operators:
                 for _ in range(6):
-                    operators.start_soon(operate, log)
+                    operators.start_soon(switch_preset, log)
             nursery.cancel_scope.cancel()
         return results
 
--- a/packages/ragwortwing-runtime/tests/test_fencing.py
+++ b/packages/ragwortwing-runtime/tests/test_fencing.py
@@ -1,4 +1,4 @@
-"""A later agent's fencing number is higher, whatever happens to the appends."""
+"""Tests of fencing numbers: an agent that starts later has a higher number."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ragwortwing_runtime.fencing import take_fencing_number
 
 
-def test_numbers_rise_under_faults() -> None:
+def test_numbers_increase_when_appends_fail() -> None:
     async def scenario() -> list[int]:
         clock = TrioClock()
         async with trio.open_nursery() as nursery:
--- a/packages/ragwortwing-runtime/tests/test_logs.py
+++ b/packages/ragwortwing-runtime/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with the request that each line belongs to."""
+"""Tests of the JSON logs: one object a line, with the ids of its request and trace."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from ragwortwing_runtime.logs import JsonLinesHandler, LogContext, set_log_context
 
 
-async def test_each_task_logs_its_own_request_and_trace() -> None:
+async def test_each_task_logs_its_own_request_and_trace_id() -> None:
     stream = StringIO()
     log = logbook.Logger("test")
 
-    async def work(number: int) -> None:
+    async def log_step(number: int) -> None:
         set_log_context(LogContext(f"request-{number}", f"trace-{number}"))
         await trio.lowlevel.checkpoint()
         log.info("Working", step=number)
@@ -23,7 +23,7 @@
     with JsonLinesHandler("entry-1", stream):
         async with trio.open_nursery() as nursery:
             for number in range(3):
-                nursery.start_soon(work, number)
+                nursery.start_soon(log_step, number)
     lines = [msgspec.json.decode(line) for line in stream.getvalue().splitlines()]
     assert {(each["request_id"], each["trace_id"], each["step"]) for each in lines} == {
         (f"request-{number}", f"trace-{number}", number) for number in range(3)
@@ -31,7 +31,7 @@
     assert {each["process"] for each in lines} == {"entry-1"}
 
 
-def test_an_exception_and_an_odd_value_stay_on_one_line() -> None:
+def test_an_exception_and_an_unserializable_value_are_logged_on_one_line() -> None:
     stream = StringIO()
     with JsonLinesHandler("entry-1", stream):
         try:
--- a/packages/ragwortwing-runtime/tests/test_order_book.py
+++ b/packages/ragwortwing-runtime/tests/test_order_book.py
@@ -1,4 +1,4 @@
-"""Orders are sent at most once, whatever the log and the holders do."""
+"""Tests of the order book: orders are sent at most once, under faults of the log and of agents."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
     from collections.abc import AsyncIterator
 
 ORDER = KeyedOrder("suva-cakes", "wedding-1", b"digest")
-SHORT = 0.3
-"""Seconds for an answer of the store."""
+STORE_TIMEOUT_S = 0.3
+"""Timeout of a call to the store."""
 
 
 class PausableClock(SystemClock):
-    """A clock whose monotonic time can be moved on, as a stopped process sees it."""
+    """A clock whose monotonic time can jump ahead, as after a pause of the process."""
 
     def __init__(self) -> None:
-        self.pause = 0.0
+        self.pause_s = 0.0
 
     def monotonic(self) -> float:
-        return super().monotonic() + self.pause
+        return super().monotonic() + self.pause_s
 
 
-def soon(seconds: float = 5.0) -> float:
+def deadline_in(seconds: float = 5.0) -> float:
     return SystemClock().monotonic() + seconds
 
 
@@ -49,7 +49,7 @@
 async def running_book(
     address: str, agent: str = "desk-1", clock: SystemClock | None = None
 ) -> AsyncIterator[OrderBook]:
-    platform = StoreServices(address, SHORT)
+    platform = StoreServices(address, STORE_TIMEOUT_S)
     settings = OrderBookSettings(send_window=timedelta(seconds=4))
     book = OrderBook(platform.log, clock or SystemClock(), Random(1), agent, settings)
     async with trio.open_nursery() as nursery:
@@ -59,72 +59,72 @@
     platform.close()
 
 
-async def until_settled(book: OrderBook) -> None:
+async def wait_until_settled(book: OrderBook) -> None:
     with trio.fail_after(5):
-        while not isinstance(await book.claim(ORDER, soon(0.05)), AlreadySettled):
+        while not isinstance(await book.claim(ORDER, deadline_in(0.05)), AlreadySettled):
             await trio.lowlevel.checkpoint()
 
 
-async def test_first_claim_wins_and_a_repeat_elsewhere_gets_the_first_outcome() -> None:
+async def test_first_claim_wins_and_a_repeat_at_another_agent_gets_the_first_outcome() -> None:
     async with (
         running_store() as (_, address),
         running_book(address) as first,
         running_book(address, "desk-2") as second,
     ):
-        won = await first.claim(ORDER, soon())
+        won = await first.claim(ORDER, deadline_in())
         assert isinstance(won, WonClaim)
         assert first.begin_send(won) is None
         first.record(won, Completed(), 201, b"cake 7")
-        repeat = await second.claim(ORDER, soon())
+        repeat = await second.claim(ORDER, deadline_in())
         assert repeat == AlreadySettled(RecordedAnswer(Completed(), 201, b"cake 7"))
         other_body = KeyedOrder(ORDER.account, ORDER.key, b"other")
-        assert await second.claim(other_body, soon()) == NotRun(NotRunReason.KEY_REUSED)
+        assert await second.claim(other_body, deadline_in()) == NotRun(NotRunReason.KEY_REUSED)
         other_account = KeyedOrder("nadi-cakes", ORDER.key, b"digest")
-        assert isinstance(await second.claim(other_account, soon()), WonClaim)
+        assert isinstance(await second.claim(other_account, deadline_in()), WonClaim)
 
 
-async def test_a_repeat_while_no_outcome_is_recorded_is_unknown() -> None:
-    """A holder sends the order and dies; the family's app repeats the key at another agent.
+async def test_a_repeat_without_a_recorded_outcome_is_unknown() -> None:
+    """Guards against a wrong answer to a repeat after an agent crashed with its order sent.
 
-    Nobody knows whether the cake is being baked, so the repeat must neither run nor be told that
-    the order did not run.
+    It is unknown whether the order is being carried out. So the repeat must neither run nor be
+    answered `NotRun`.
     """
     async with running_store() as (_, address), running_book(address, "desk-2") as second:
         async with running_book(address) as first:
-            won = await first.claim(ORDER, soon())
+            won = await first.claim(ORDER, deadline_in())
             assert isinstance(won, WonClaim)
             assert first.begin_send(won) is None
-        repeat = await second.claim(ORDER, soon(0.3))
+        repeat = await second.claim(ORDER, deadline_in(0.3))
         assert repeat == Unknown(UnknownReason.NO_RECORDED_OUTCOME)
 
 
 @pytest.mark.parametrize("kind", [FaultKind.LOSE_REPLY, FaultKind.SILENT])
-async def test_a_lost_append_reply_is_settled_by_reading(kind: FaultKind) -> None:
+async def test_a_lost_append_reply_is_resolved_by_reading(kind: FaultKind) -> None:
     async with running_store() as (standin, address), running_book(address) as book:
         standin.faults.set(Fault(kind))
-        assert isinstance(await book.claim(ORDER, soon()), WonClaim)
+        assert isinstance(await book.claim(ORDER, deadline_in()), WonClaim)
         assert standin.counts["lost_replies"] == 1
         assert len(book.ledger) == 1
 
 
-async def test_with_the_log_down_an_order_is_not_run_at_once() -> None:
+async def test_an_order_is_refused_without_delay_during_a_log_outage() -> None:
     async with running_store() as (standin, address), running_book(address) as book:
         standin.faults.set(Fault(FaultKind.OUTAGE))
-        refused = await book.claim(ORDER, soon(60))
+        refused = await book.claim(ORDER, deadline_in(60))
         assert isinstance(refused, NotRun)
         assert refused.reason is NotRunReason.LOG_UNAVAILABLE
         assert refused.retry_after is not None
         standin.faults.clear()
         with trio.fail_after(10):
-            while not isinstance(await book.claim(ORDER, soon()), WonClaim):
+            while not isinstance(await book.claim(ORDER, deadline_in()), WonClaim):
                 await trio.lowlevel.checkpoint()
 
 
-async def test_a_holder_paused_past_its_deadline_sends_nothing_and_frees_the_key() -> None:
-    """The VM is stopped between winning the claim and the write, and goes on a minute later.
+async def test_an_agent_paused_past_its_deadline_sends_nothing_and_releases_the_key() -> None:
+    """Guards against a late send when a VM is paused for a minute between claim and write.
 
-    The caller has given up by then. The write would order a cake that nobody waits for; the check
-    on the monotonic clock stops it, and the release lets a repeat through another agent run.
+    The caller has given up by then. The check of the monotonic clock prevents the write, and the
+    release of the claim lets a repeat at another agent run.
     """
     clock = PausableClock()
     async with (
@@ -132,22 +132,22 @@
         running_book(address, clock=clock) as paused,
         running_book(address, "desk-2") as other,
     ):
-        won = await paused.claim(ORDER, soon())
+        won = await paused.claim(ORDER, deadline_in())
         assert isinstance(won, WonClaim)
-        clock.pause = 60.0
+        clock.pause_s = 60.0
         refused = paused.begin_send(won)
         assert refused is not None
         assert refused.reason is NotRunReason.DEADLINE
-        assert isinstance(await other.claim(ORDER, soon()), WonClaim)
+        assert isinstance(await other.claim(ORDER, deadline_in()), WonClaim)
         assert paused.begin_send(won) == NotRun(NotRunReason.WITHDRAWN)
 
 
-async def test_a_withdrawn_order_frees_its_key_only_before_it_is_sent() -> None:
+async def test_a_withdrawn_order_releases_its_key_only_before_it_is_sent() -> None:
     async with running_store() as (_, address), running_book(address) as book:
-        won = await book.claim(ORDER, soon())
+        won = await book.claim(ORDER, deadline_in())
         assert isinstance(won, WonClaim)
         assert book.release(won)
-        again = await book.claim(ORDER, soon())
+        again = await book.claim(ORDER, deadline_in())
         assert isinstance(again, WonClaim)
         assert book.begin_send(again) is None
         assert not book.release(again)
@@ -157,20 +157,20 @@
 async def test_a_restarted_agent_reads_the_first_outcome() -> None:
     async with running_store() as (_, address):
         async with running_book(address, "desk-1.a") as book:
-            won = await book.claim(ORDER, soon())
+            won = await book.claim(ORDER, deadline_in())
             assert isinstance(won, WonClaim)
             assert book.begin_send(won) is None
             book.record(won, Completed(), 201)
-            await until_settled(book)
+            await wait_until_settled(book)
         async with running_book(address, "desk-1.b") as book:
-            again = await book.claim(ORDER, soon())
+            again = await book.claim(ORDER, deadline_in())
             assert again == AlreadySettled(RecordedAnswer(Completed(), 201))
 
 
 @pytest.mark.parametrize("hours", [-7, 1])
-async def test_a_key_whose_time_is_out_of_the_window_is_refused(hours: int) -> None:
-    at = (SystemClock().utc_now() + timedelta(hours=hours)).timestamp()
+async def test_an_order_time_outside_the_window_is_refused(hours: int) -> None:
+    order_time = (SystemClock().utc_now() + timedelta(hours=hours)).timestamp()
     async with running_store() as (standin, address), running_book(address) as book:
-        order = KeyedOrder("suva-cakes", "k", b"d", at)
-        assert await book.claim(order, soon()) == NotRun(NotRunReason.KEY_OUT_OF_WINDOW)
+        order = KeyedOrder("suva-cakes", "k", b"d", order_time)
+        assert await book.claim(order, deadline_in()) == NotRun(NotRunReason.KEY_OUT_OF_WINDOW)
         assert standin.counts["appended"] == 0
--- a/packages/ragwortwing-runtime/tests/test_order_book_faults.py
+++ b/packages/ragwortwing-runtime/tests/test_order_book_faults.py
@@ -1,4 +1,7 @@
-"""Three agents, one log that goes wrong, pauses and repeats: no key's order is sent twice."""
+"""Tests of the order book with a faulty log: no key's order is sent twice.
+
+Three agents share the log. Submissions are repeated, paused and abandoned at random.
+"""
 
 from __future__ import annotations
 
@@ -27,8 +30,8 @@
 SUBMISSIONS = 60
 
 
-class Desk:
-    """Submits orders through its agents and counts what is sent."""
+class OrderSubmitter:
+    """Submits orders at random times and counts how often each key's order is sent."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -45,12 +48,12 @@
         if isinstance(result, AlreadySettled):
             assert self.sent_by_key[key] == 1
         if isinstance(result, WonClaim):
-            await self.go_on(book, result, key)
+            await self.send_or_release(book, result, key)
         elif isinstance(result, NotRun) and result.reason is not NotRunReason.IN_PROGRESS:
             assert self.sent_by_key[key] <= max(1, sent_before)
 
-    async def go_on(self, book: OrderBook, won: WonClaim, key: str) -> None:
-        """Send the order, give it up, or be paused first."""
+    async def send_or_release(self, book: OrderBook, won: WonClaim, key: str) -> None:
+        """Send the order or release its claim, possibly after a pause."""
         draw = self.random.random()
         if draw < 0.2:
             assert book.release(won)
@@ -62,14 +65,14 @@
             return
         self.sent_by_key[key] += 1
         if draw < 0.6:
-            self.results["died after the send"] += 1
+            self.results["crashed after the send"] += 1
             return
         await trio.sleep(self.random.random())
         book.record(won, Completed(), 201)
 
 
-async def run_desk(seed: int) -> tuple[Desk, RecordLog]:
-    desk = Desk(seed)
+async def run_submissions(seed: int) -> tuple[OrderSubmitter, RecordLog]:
+    submitter = OrderSubmitter(seed)
     clock = TrioClock()
     records = RecordLog(clock)
     async with trio.open_nursery() as nursery:
@@ -81,24 +84,25 @@
             books.append(book)
         async with trio.open_nursery() as submissions:
             for _ in range(SUBMISSIONS):
-                key = f"key-{desk.random.randrange(KEYS)}"
-                submissions.start_soon(desk.submit, desk.random.choice(books), key)
+                key = f"key-{submitter.random.randrange(KEYS)}"
+                submissions.start_soon(submitter.submit, submitter.random.choice(books), key)
         nursery.cancel_scope.cancel()
-    return desk, records
+    return submitter, records
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_key_is_sent_twice(seed: int) -> None:
-    desk, _ = trio.run(run_desk, seed, clock=MockClock(autojump_threshold=0))
-    assert desk.sent_by_key
-    assert max(desk.sent_by_key.values()) == 1
-    assert desk.results["WonClaim"] > 0
+    submitter, _ = trio.run(run_submissions, seed, clock=MockClock(autojump_threshold=0))
+    assert submitter.sent_by_key
+    assert max(submitter.sent_by_key.values()) == 1
+    assert submitter.results["WonClaim"] > 0
 
 
-def test_a_late_record_of_a_given_up_claim_is_released() -> None:
-    """The log is slow: the claim comes to stand in it after its caller was told it did not run.
+def test_a_late_record_of_an_abandoned_claim_is_released() -> None:
+    """Guards against a claim that takes effect after its caller was answered `NotRun`.
 
-    Without the release by its holder, every repeat of the key would be told `Unknown` for hours.
+    This happens when the log is slow. Unless the agent releases the claim, every repeat of the key
+    would be answered `Unknown` for hours.
     """
 
     async def scenario() -> object:
@@ -111,8 +115,8 @@
             book = OrderBook(log, clock, Random(1), "desk-1", settings)
             await nursery.start(book.run)
             order = KeyedOrder("suva-cakes", "k", b"digest")
-            given_up = await book.claim(order, trio.current_time() + 0.001)
-            assert given_up == NotRun(NotRunReason.DEADLINE, given_up.retry_after)  # type: ignore[union-attr]
+            abandoned = await book.claim(order, trio.current_time() + 0.001)
+            assert abandoned == NotRun(NotRunReason.DEADLINE, abandoned.retry_after)  # type: ignore[union-attr]
             await trio.sleep(5)
             assert records.stream("orders").next_offset >= 2
             log.faults = LogFaults()
@@ -124,11 +128,11 @@
     assert isinstance(again, WonClaim)
 
 
-def test_a_claim_read_twice_does_not_take_its_key_again_after_the_release() -> None:
-    """An append is lost, repeated, won and released; then the lost one comes to stand after all.
+def test_a_duplicate_of_a_released_claim_does_not_block_its_key() -> None:
+    """Guards against a delayed append that takes effect after its repeat was won and released.
 
-    It is the first claim of a free key again. Unless its holder releases it once more, every
-    repeat is told `Unknown`, of an order that nobody will ever send.
+    The late record is again the first claim of a free key. Unless the agent releases it once more,
+    every repeat is answered `Unknown`, although no one will ever send the order.
     """
 
     async def scenario() -> object:
@@ -155,7 +159,7 @@
 
 
 class SilentPollLog(InMemoryLog):
-    """A log whose held reads are never answered, as on a connection that went silent."""
+    """A log whose long-polling reads are never answered, as on a silent connection."""
 
     async def read(
         self,
@@ -169,10 +173,11 @@
         return await super().read(stream, offset, limit, wait)
 
 
-def test_a_claim_is_read_back_although_the_held_read_is_silent() -> None:
-    """Something between agent and log forgets the connection on which the agent waits for records.
+def test_a_claim_is_read_back_when_the_long_poll_is_never_answered() -> None:
+    """Guards against orders refused until the long poll times out.
 
-    New connections work. Orders would be refused until the held read times out.
+    A device between agent and log drops the state of the connection that the long poll uses. New
+    connections work.
     """
 
     async def scenario() -> object:
--- a/packages/ragwortwing-runtime/tests/test_settings.py
+++ b/packages/ragwortwing-runtime/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process: every fault of a file is told at once, with its key and value."""
+"""Tests of process settings: all faults of a file are reported, with key and value."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-AGENT = """
+AGENT_TOML = """
 name = "agent-1"
 zone = "suva"
 [listen]
@@ -39,7 +39,7 @@
 
 def test_reads_types_and_defaults(tmp_path: Path) -> None:
     path = tmp_path / "agent.toml"
-    path.write_text(AGENT)
+    path.write_text(AGENT_TOML)
     settings = read_settings(path, AgentSettings)
     assert isinstance(settings, AgentSettings)
     assert settings.listen.http == Address("::1", 8081)
@@ -71,13 +71,15 @@
         ("shutdown.limit", "-5s", "a duration"),
     ],
 )
-def test_names_key_value_and_what_is_allowed(key: str, value: object, allowed: str) -> None:
-    table = tomllib.loads(AGENT)
-    *parents, last = key.split(".")
-    place = table
-    for parent in parents:
-        place = place.setdefault(parent, {})
-    place[last] = value
+def test_a_fault_reports_key_value_and_allowed_values(
+    key: str, value: object, allowed: str
+) -> None:
+    table = tomllib.loads(AGENT_TOML)
+    *parent_keys, last_key = key.split(".")
+    parent_table = table
+    for parent_key in parent_keys:
+        parent_table = parent_table.setdefault(parent_key, {})
+    parent_table[last_key] = value
     faulty = structure_settings(table, AgentSettings)
     assert isinstance(faulty, FaultySettings)
     (fault,) = faulty.faults
@@ -85,8 +87,8 @@
     assert allowed in fault.allowed
 
 
-def test_lists_every_fault_of_a_file_at_once() -> None:
-    table = tomllib.loads(AGENT) | {"colour": "blue"}
+def test_all_faults_of_a_file_are_reported() -> None:
+    table = tomllib.loads(AGENT_TOML) | {"colour": "blue"}
     del table["zone"]
     table["backend"] |= {"targets": ["a", 3], "initial_concurency": 3}
     faulty = structure_settings(table, AgentSettings)
@@ -95,8 +97,8 @@
     assert keys == {"zone", "colour", "backend.targets[1]", "backend.initial_concurency"}
 
 
-def test_keys_that_contradict_each_other_are_a_fault_of_their_table() -> None:
-    table = tomllib.loads(AGENT)
+def test_contradictory_keys_are_reported_as_a_fault_of_their_table() -> None:
+    table = tomllib.loads(AGENT_TOML)
     table["connections"] = {"heartbeat_interval": "3s", "heartbeat_timeout": "2s"}
     table["backend"] |= {"initial_concurrency": 400}
     faulty = structure_settings(table, AgentSettings)
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("text", ["name = ", b"\xff\xfe"])
-def test_a_file_that_is_not_toml_is_one_fault(tmp_path: Path, text: str | bytes) -> None:
+def test_an_invalid_toml_file_is_reported_as_one_fault(tmp_path: Path, text: str | bytes) -> None:
     path = tmp_path / "entry.toml"
     path.write_bytes(text if isinstance(text, bytes) else text.encode())
     faulty = read_settings(path, EntrySettings)
@@ -113,7 +115,7 @@
     assert faulty.faults[0].allowed == "TOML in UTF-8"
 
 
-def test_a_missing_file_is_one_fault(tmp_path: Path) -> None:
+def test_a_missing_file_is_reported_as_one_fault(tmp_path: Path) -> None:
     faulty = read_settings(tmp_path / "none.toml", EntrySettings)
     assert isinstance(faulty, FaultySettings)
     assert faulty.faults == (
--- a/packages/ragwortwing-runtime/tests/test_telemetry.py
+++ b/packages/ragwortwing-runtime/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Telemetry without threads: metrics on scrape, spans sent by a task, the trace carried on."""
+"""Tests of telemetry: metrics on scrape, export of spans without threads, trace propagation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Collector:
-    """Takes OTLP/HTTP batches."""
+    """Minimal OTLP/HTTP collector that stores the batches it receives."""
 
     def __init__(self) -> None:
         self.address = Address("127.0.0.1", 0)
@@ -58,7 +58,7 @@
     nursery.cancel_scope.cancel()
 
 
-def telemetry(collector: Collector | None = None) -> Telemetry:
+def make_telemetry(collector: Collector | None = None) -> Telemetry:
     settings = TelemetrySettings(span_buffer=3)
     if collector is not None:
         settings = replace(settings, collector=HttpUrl(collector.address))
@@ -66,7 +66,7 @@
 
 
 async def test_spans_reach_the_collector(collector: Collector) -> None:
-    sender = telemetry(collector)
+    sender = make_telemetry(collector)
     with sender.span("first", SpanKind.SERVER) as span:
         pass
     await sender.flush()
@@ -78,18 +78,18 @@
     assert len(sender.spans) == 0
 
 
-async def test_a_collector_that_is_down_costs_spans_and_nothing_else() -> None:
-    gone = Collector()
-    gone.address = Address("127.0.0.1", 1)
-    sender = telemetry(gone)
+async def test_spans_are_dropped_without_an_error_while_the_collector_is_down() -> None:
+    stopped_collector = Collector()
+    stopped_collector.address = Address("127.0.0.1", 1)
+    sender = make_telemetry(stopped_collector)
     with sender.span("lost", SpanKind.SERVER):
         pass
     await sender.flush()
     assert len(sender.spans) == 0
 
 
-def test_the_trace_goes_on_over_hops() -> None:
-    entry, agent = telemetry(), telemetry()
+def test_the_trace_is_propagated_between_processes() -> None:
+    entry, agent = make_telemetry(), make_telemetry()
     first = entry.start_span("entry", SpanKind.SERVER)
     second = agent.start_span("agent", SpanKind.CLIENT, traceparent_of(first))
     second.end()
@@ -100,7 +100,7 @@
 
 
 def test_unsent_spans_are_bounded_and_no_thread_is_started() -> None:
-    sender = telemetry()
+    sender = make_telemetry()
     for number in range(5):
         with sender.span(f"span {number}", SpanKind.SERVER):
             pass
@@ -109,7 +109,7 @@
 
 
 def test_metrics_are_collected_on_scrape() -> None:
-    sender = telemetry()
+    sender = make_telemetry()
     counter = sender.meter.create_counter("calls")
     counter.add(2, {"class": "chat"})
     assert b'calls_total{class="chat"} 2.0' in sender.metrics_text()
