--- a/packages/ragwortwing-entry/tests/duties/fleet_model.py
+++ b/packages/ragwortwing-entry/tests/duties/fleet_model.py
@@ -238,7 +238,7 @@
         if holder_by_token.setdefault(call.token, call.holder) != call.holder:
             found.append(f"token {call.token} of two holders at {call.at:.3f}")
         if counts_by_window.setdefault(call.window, call.counts) != call.counts:
-            found.append(f"window {call.window} reported twice at {call.at:.3f}")
+            found.append(f"window {call.window} reported with different counts at {call.at:.3f}")
     found += _alternations(calls)
     return found
 
--- a/packages/ragwortwing-entry/tests/duties/test_duty_fleet.py
+++ b/packages/ragwortwing-entry/tests/duties/test_duty_fleet.py
@@ -27,7 +27,7 @@
     from ragwortwing_entry.duties.permit import Permit
 
 SEEDS = int(os.environ.get("RAGWORTWING_DUTY_SEEDS", "6"))
-"""Number of simulated fleets; set the environment variable to run more."""
+"""Number of simulated fleets, each with its own random seed."""
 
 DURATION = 400.0
 """Virtual seconds for which each fleet is simulated."""
