--- a/packages/ragwortwing-entry/src/ragwortwing_entry/__main__.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the binary `ragwortwing`."""
+"""Command line interface of `ragwortwing`."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
     "config": "config",
     "preset": "preset",
 }
-"""Module below `commands` of each top-level command."""
+"""Module in `ragwortwing_entry.commands` that defines each top-level command."""
 
 
 class LazyGroup(click.Group):
-    """Imports a command's module only when it is used, which keeps a running entry small."""
+    """Imports the module of a command on first use, so that a running entry loads less code."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of the commands."""
+        """Return the names of all commands."""
         return list(MODULES_BY_COMMAND)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command, None where there is none of that name."""
+        """Return the command of that name, or None if it does not exist."""
         module_name = MODULES_BY_COMMAND.get(cmd_name)
         if module_name is None:
             return None
@@ -35,7 +35,7 @@
 
 @click.group(cls=LazyGroup)
 def main() -> None:
-    """Run an entry, and drive the site."""
+    """Run an entry and operate the system."""
 
 
 if __name__ == "__main__":
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/account_gate.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/account_gate.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts, split over the entries that the membership list shows."""
+"""Enforces the limits of client accounts, divided among the entries in the membership list."""
 
 from __future__ import annotations
 
@@ -14,38 +14,41 @@
     from ragwortwing_runtime.members import Members, MemberSource
 
 
-class AccountGate:
-    """Brings the limiter up to date before each decision."""
+class AccountAdmission:
+    """Admits requests within the limits of their client account.
+
+    The limiter picks up a new configuration or a changed entry count before each decision.
+    """
 
     def __init__(self, members: MemberSource) -> None:
-        self._source = members
+        self._member_source = members
         self._members: Members | None = None
         self._configuration: Configuration | None = None
         self._limiter: AccountLimiter | None = None
 
     def admit(self, account: str, configuration: Configuration, now: Instant) -> NotRun | None:
-        """Count a request in, or return why it does not run.
+        """Admit a request and count it as in flight, or return the reason for the rejection.
 
         Args:
             account: Name of the client account.
-            configuration: The configuration in force.
-            now: The present instant.
+            configuration: The active configuration.
+            now: The current time.
         """
-        return self._current(configuration, now).admit(account, now)
+        return self._current_limiter(configuration, now).admit(account, now)
 
     def release(self, account: str, now: Instant) -> None:
-        """Count a request out that was admitted."""
+        """Stop counting an admitted request as in flight."""
         if self._limiter is not None:
             self._limiter.release(account, now)
 
-    def _current(self, configuration: Configuration, now: Instant) -> AccountLimiter:
+    def _current_limiter(self, configuration: Configuration, now: Instant) -> AccountLimiter:
         limiter = self._limiter
         if limiter is None:
             limiter = self._limiter = AccountLimiter(configuration)
         elif configuration is not self._configuration:
             limiter.configure(configuration, now)
         self._configuration = configuration
-        if self._source.current is not self._members:
-            self._members = self._source.current
+        if self._member_source.current is not self._members:
+            self._members = self._member_source.current
             limiter.entries_changed(len(self._members.with_role(MemberRole.ENTRY)), now)
         return limiter
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/accounts.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/accounts.py
@@ -1,4 +1,4 @@
-"""Who calls: finds the client account of an API key and the request class it may use."""
+"""Authentication and authorization: client accounts by API key and their request classes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from ragwortwing_policy.configuration import ClientAccount, Configuration
 
-BEARER = b"bearer "
+BEARER_PREFIX = b"bearer "
 
 
 def digest_of_key(key: bytes) -> str:
-    """Return the form in which configuration holds an API key.
+    """Return the SHA-256 hex digest under which the configuration stores an API key.
 
     Example:
         >>> digest_of_key(b"key")[:8]
@@ -25,21 +25,21 @@
 
 
 def authenticate(configuration: Configuration, authorization: bytes) -> ClientAccount | CallerFault:
-    """Find the account of a caller.
+    """Return the client account of the caller's API key.
 
     Args:
-        configuration: The configuration in force.
-        authorization: Value of the `Authorization` header, empty where there was none.
+        configuration: The active configuration.
+        authorization: Value of the `Authorization` header, empty if it is missing.
 
     Returns:
-        The account, or a fault that does not tell which part of the key was wrong.
+        The account, or a fault that does not reveal which part of the key is wrong.
     """
-    if authorization[: len(BEARER)].lower() != BEARER:
+    if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
         return CallerFault(CallerFaultCode.UNAUTHENTICATED, "send Authorization: Bearer KEY")
-    digest = digest_of_key(authorization[len(BEARER) :].strip())
+    digest = digest_of_key(authorization[len(BEARER_PREFIX) :].strip())
     found: ClientAccount | None = None
-    # A comparison that stops early tells by its duration how much of a guess was right. Here every
-    # digest of every account is compared, each in constant time.
+    # Guards against timing attacks: a comparison that stops early reveals how much of a guess is
+    # right. The loop compares every digest of every account, each in constant time.
     for account in configuration.accounts_by_name.values():
         for known in account.key_digests:
             if hmac.compare_digest(known, digest):
@@ -49,14 +49,14 @@
     return found
 
 
-def class_of_request(account: ClientAccount, named: bytes) -> str | CallerFault:
-    """Return the request class of a call.
+def resolve_request_class(account: ClientAccount, requested: bytes) -> str | CallerFault:
+    """Return the request class of a call, if the account may use it.
 
     Args:
         account: The caller's account.
-        named: Value of the `x-request-class` header, empty for the account's default.
+        requested: Value of the `x-request-class` header; empty selects the account's default.
     """
-    name = named.decode("latin-1")
+    name = requested.decode("latin-1")
     if name and name not in account.classes:
         return CallerFault(
             CallerFaultCode.CLASS_NOT_ALLOWED, f"the account may not use the class {name!r}"
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/agent_pool.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/agent_pool.py
@@ -1,4 +1,4 @@
-"""The agents an entry is connected to, and what the router knows of them."""
+"""Manages the connections of an entry to its agents and keeps the router up to date."""
 
 from __future__ import annotations
 
@@ -35,33 +35,33 @@
 
 
 class ConfigurationSource(Protocol):
-    """What the entry needs of the configuration feed."""
+    """The part of the configuration feed that the entry uses."""
 
     @property
     def current(self) -> Configuration | None:
-        """The configuration in force; None before the first was seen."""
+        """The active configuration; None until the first one has arrived."""
         ...
 
     @property
     def state(self) -> FoldState:
-        """The state of the fold."""
+        """State folded from the configuration records so far."""
         ...
 
     def records_from(self, offset: int) -> tuple[ConfigurationRecord, ...]:
-        """Return the records from an offset on, for a peer that is behind."""
+        """Return the records from an offset on, to bring a peer up to date."""
         ...
 
     def take_peer_records(self, records: Iterable[ConfigurationRecord]) -> bool:
-        """Fold records that a peer sent."""
+        """Apply records that a peer sent."""
         ...
 
     async def run(self, *, task_status: trio.TaskStatus[None] = ...) -> None:
-        """Follow the stream; started after the first read."""
+        """Follow the configuration stream; reports started after the first read."""
         ...
 
 
 class AgentPool:
-    """Keeps one link to each agent that the entry should know."""
+    """Keeps one link to each agent of the entry's subset."""
 
     def __init__(
         self,
@@ -73,44 +73,45 @@
         clock: Clock,
     ) -> None:
         self.draining = False
-        """Told to the agents with each heartbeat."""
+        """Whether the entry is shutting down; each heartbeat reports it to the agents."""
         self._name = entry_id.partition("/")[0]
         self._hello = EntryHello(entry_id, zone, revision=-1)
         self._connections = connections
         self._router = router
         self._source = source
         self._clock = clock
-        self._has_dialled = False
+        self._initial_dials_finished = False
         self._links_by_address: dict[Address, AgentLink] = {}
         self._links_by_agent_id: dict[str, AgentLink] = {}
         self._membership = Membership()
 
     @property
     def agents_by_id(self) -> Mapping[str, AgentView]:
-        """The connected agents."""
+        """State of each connected agent."""
         links = self._links_by_agent_id.items()
         return {agent_id: link.view for agent_id, link in links if link.view is not None}
 
-    def link_of(self, agent_id: str) -> AgentLink | None:
-        """Return the link to a connected agent."""
+    def get_link(self, agent_id: str) -> AgentLink | None:
+        """Return the link to an agent, or None if it is not connected."""
         return self._links_by_agent_id.get(agent_id)
 
     def set_agents(self, leaving_by_address: Mapping[Address, bool], nursery: trio.Nursery) -> None:
-        """Keep links to exactly these agents.
+        """Open and retire links so that they match the listed agents.
 
         Args:
-            leaving_by_address: Each agent's address and whether the list says that it leaves.
-            nursery: Where links live.
+            leaving_by_address: Each agent's address and whether it is listed as leaving.
+            nursery: Nursery that runs the links.
         """
         for address in self._links_by_address.keys() - leaving_by_address.keys():
-            # The list lags and can be wrong: an answer that still comes is not cut for it.
+            # The list lags and can be wrong, so a link stays up until its connection is lost.
+            # Otherwise a stale list would cut off answers in progress.
             self._links_by_address[address].listed = False
         for address in leaving_by_address:
             link = self._links_by_address.get(address)
             if link is None:
                 link = self._add(address, nursery)
             link.listed = True
-        self._take_changes(
+        self._apply_state_changes(
             self._membership.set_list(
                 ListedAgent(str(address), str(address), leaving)
                 for address, leaving in leaving_by_address.items()
@@ -118,41 +119,41 @@
         )
 
     def hello(self) -> EntryHello:
-        """Return the first message of a connection."""
+        """Return the first message to send on a connection."""
         return EntryHello(self._hello.entry_id, self._hello.zone, self._revision)
 
     def heartbeat(self, sequence: int) -> Heartbeat:
-        """Return a heartbeat to an agent."""
+        """Return the heartbeat to send to an agent."""
         return Heartbeat(sequence, self._revision, leaving=self.draining)
 
     def link_changed(self, link: AgentLink, view: AgentView) -> None:
-        """Take in an agent's newest state."""
+        """Update the state of a connected agent."""
         self._links_by_agent_id[view.agent_id] = link
         self._router.update(view, self._clock.monotonic())
 
     def link_lost(self, view: AgentView) -> None:
-        """Choose an agent no more until it is connected again."""
+        """Stop routing to an agent until it is connected again."""
         self._links_by_agent_id.pop(view.agent_id, None)
         self._router.update(replace(view, connected=False), self._clock.monotonic())
 
     def agent_connected(self, address: Address, agent_id: str) -> None:
-        """Take in which agent answered at an address."""
-        self._take_changes(self._membership.connected(str(address), agent_id))
+        """Record which agent answered at an address."""
+        self._apply_state_changes(self._membership.connected(str(address), agent_id))
 
     def agent_disconnected(self, address: Address) -> None:
-        """Take in that the connection to an address was lost."""
-        self._take_changes(self._membership.disconnected(str(address)))
+        """Record that the connection to an address was lost."""
+        self._apply_state_changes(self._membership.disconnected(str(address)))
 
-    def said_leaving(self, agent_id: str) -> None:
-        """Take in an agent's own word that it leaves."""
-        self._take_changes(self._membership.said_leaving(agent_id))
+    def agent_reported_leaving(self, agent_id: str) -> None:
+        """Record that an agent itself reports that it is leaving."""
+        self._apply_state_changes(self._membership.said_leaving(agent_id))
 
     def takes_new_work(self, agent_id: str) -> bool:
-        """Return whether an agent may be asked for a slot."""
+        """Return whether an agent accepts new requests."""
         return self._membership.takes_new_work(agent_id)
 
-    def _take_changes(self, changes: Iterable[StateChange]) -> None:
-        """Tell the router at once, and not only with the agent's next heartbeat."""
+    def _apply_state_changes(self, changes: Iterable[StateChange]) -> None:
+        """Update the router at once instead of with the agent's next heartbeat."""
         for change in changes:
             link = self._links_by_agent_id.get(change.agent_id)
             if link is not None and link.view is not None:
@@ -166,23 +167,26 @@
         """Return the configuration records from an offset on."""
         return ConfigurationRecords(self._source.records_from(offset))
 
-    def take_records(self, message: ConfigurationRecords) -> None:
-        """Fold configuration records of an agent."""
+    def apply_records(self, message: ConfigurationRecords) -> None:
+        """Apply configuration records that an agent sent."""
         self._source.take_peer_records(message.records)
 
     def request_if_behind(self, peer_revision: int) -> ConfigurationRequest | None:
-        """Return what to ask of an agent that is ahead; None where it is not."""
+        """Return a request for missing records, or None if the agent has no newer revision."""
         if peer_revision <= self._revision:
             return None
         return ConfigurationRequest(self._source.state.position)
 
     @property
-    def has_dialled(self) -> bool:
-        """Whether each agent known at the start was dialled; it stays so."""
-        if not self._has_dialled:
+    def initial_dials_finished(self) -> bool:
+        """Whether the first connection attempt to every initial agent has finished.
+
+        Once true, it stays true when agents are added later.
+        """
+        if not self._initial_dials_finished:
             links = self._links_by_address.values()
-            self._has_dialled = all(link.dialled for link in links)
-        return self._has_dialled
+            self._initial_dials_finished = all(link.first_dial_finished for link in links)
+        return self._initial_dials_finished
 
     async def follow_members(
         self,
@@ -191,15 +195,15 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Keep the links to the agents of this entry's subset, as the list changes."""
+        """Keep links to the agents of this entry's subset as the membership list changes."""
         members = source.current
-        self.set_agents(self._subset(members), nursery)
+        self.set_agents(self._select_subset(members), nursery)
         task_status.started()
         while True:
             members = await source.changed()
-            self.set_agents(self._subset(members), nursery)
+            self.set_agents(self._select_subset(members), nursery)
 
-    def _subset(self, members: Members) -> dict[Address, bool]:
+    def _select_subset(self, members: Members) -> dict[Address, bool]:
         agents = {each.name: each for each in members.with_role(MemberRole.AGENT)}
         entries = [each.name for each in members.with_role(MemberRole.ENTRY)]
         known = [SubsetAgent(each.name, each.zone) for each in agents.values()]
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/answers.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/answers.py
@@ -1,4 +1,4 @@
-"""Puts an outcome into an HTTP answer: status, headers, error body, final event of a stream."""
+"""Converts outcomes to HTTP responses: status, headers, error body, final events of a stream."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from .caller_faults import CallerFault
 
-JSON = b"application/json"
+JSON_CONTENT_TYPE = b"application/json"
 EVENT_STREAM = b"text/event-stream"
 DONE_EVENT = b"data: [DONE]\n\n"
 KEEP_ALIVE_COMMENT = b": keep-alive\n\n"
@@ -37,7 +37,7 @@
     NotRunReason.KEY_REUSED: 409,
     NotRunReason.IN_PROGRESS: 409,
 }
-"""HTTP status of the reasons that are not answered with 503."""
+"""HTTP status of each reason that does not use `NOT_RUN_STATUS`."""
 
 NOT_RUN_STATUS = 503
 UNKNOWN_STATUS = 504
@@ -48,7 +48,7 @@
 
 
 class ErrorDetail(msgspec.Struct, omit_defaults=True):
-    """The object that tells a caller how its request ended."""
+    """Error object that describes the outcome of a request."""
 
     type: str
     code: str
@@ -59,14 +59,14 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """Body of an answer that is not completed."""
+    """JSON body of a response to a request that did not complete."""
 
     error: ErrorDetail
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: HeaderList
@@ -74,7 +74,7 @@
 
 
 def status_of(outcome: Outcome) -> int:
-    """Return the HTTP status of an outcome.
+    """Return the HTTP status code of an outcome.
 
     Example:
         >>> status_of(NotRun(NotRunReason.OVERLOADED))
@@ -90,7 +90,7 @@
 
 
 def outcome_headers(outcome: Outcome, request_id: str) -> HeaderList:
-    """Return the headers that carry an outcome."""
+    """Return the response headers that describe an outcome."""
     headers = [
         (OUTCOME_HEADER.encode(), outcome.kind.encode()),
         (b"x-request-id", request_id.encode()),
@@ -104,37 +104,41 @@
 
 
 def outcome_answer(outcome: Outcome, request_id: str) -> Answer:
-    """Return the answer to a request of which the caller has received nothing yet."""
+    """Return the response for an outcome if nothing was sent to the caller yet."""
     body = msgspec.json.encode(ErrorBody(_detail(outcome, request_id)))
-    headers = [*outcome_headers(outcome, request_id), (b"content-type", JSON)]
-    return with_length(Answer(status_of(outcome), headers, body))
+    headers = [*outcome_headers(outcome, request_id), (b"content-type", JSON_CONTENT_TYPE)]
+    return with_content_length(Answer(status_of(outcome), headers, body))
 
 
 def fault_answer(fault: CallerFault, request_id: str) -> Answer:
-    """Return the answer to a request that the caller got wrong."""
+    """Return the response to an invalid request."""
     detail = ErrorDetail(OutcomeKind.NOT_RUN, fault.code, fault.message, request_id)
     headers = [
         (OUTCOME_HEADER.encode(), OutcomeKind.NOT_RUN.encode()),
         (REASON_HEADER.encode(), fault.code.encode()),
         (b"x-request-id", request_id.encode()),
-        (b"content-type", JSON),
+        (b"content-type", JSON_CONTENT_TYPE),
     ]
-    return with_length(Answer(fault.status, headers, msgspec.json.encode(ErrorBody(detail))))
+    return with_content_length(
+        Answer(fault.status, headers, msgspec.json.encode(ErrorBody(detail)))
+    )
 
 
 def json_answer(value: object, status: int = 200) -> Answer:
-    """Return an answer with a JSON body."""
-    return with_length(Answer(status, [(b"content-type", JSON)], msgspec.json.encode(value)))
+    """Return a response with a JSON body."""
+    return with_content_length(
+        Answer(status, [(b"content-type", JSON_CONTENT_TYPE)], msgspec.json.encode(value))
+    )
 
 
-def with_length(answer: Answer) -> Answer:
-    """Return the answer with its `content-length`."""
+def with_content_length(answer: Answer) -> Answer:
+    """Return the response with a `content-length` header added."""
     length = (b"content-length", str(len(answer.body)).encode())
     return Answer(answer.status, [*answer.headers, length], answer.body)
 
 
 def outcome_event(outcome: Outcome, request_id: str) -> bytes:
-    """Return the last events of a stream that has begun."""
+    """Return the final events of a stream that has started: the outcome and `[DONE]`."""
     detail = msgspec.json.encode(ErrorBody(_detail(outcome, request_id)))
     return b"event: outcome\ndata: " + detail + b"\n\n" + DONE_EVENT
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/caller_faults.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/caller_faults.py
@@ -1,4 +1,4 @@
-"""The caller's own faults: each has a code, an HTTP status and a message."""
+"""Errors caused by the caller. Each has a code, an HTTP status and a message."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class CallerFaultCode(StrEnum):
-    """What is wrong with a request."""
+    """Why a request is invalid."""
 
     MALFORMED_JSON = "malformed_json"
     """The body is not JSON in UTF-8."""
     INVALID_BODY = "invalid_body"
     """A value of the body is missing or has the wrong type."""
     RESERVED_KEY = "reserved_key"
-    """The body has a key that only the system itself may send to a model engine."""
+    """The body contains a key that only the system may send to a model engine."""
     INVALID_HEADER = "invalid_header"
-    """A header that the system reads has a value it cannot use."""
+    """A header that the system reads has an invalid value."""
     UNAUTHENTICATED = "unauthenticated"
     """The API key is missing or belongs to no client account."""
     CLASS_NOT_ALLOWED = "class_not_allowed"
@@ -43,17 +43,17 @@
     CallerFaultCode.UNSUPPORTED_CONTENT_TYPE: 415,
     CallerFaultCode.HEADERS_TOO_LARGE: 431,
 }
-"""HTTP status of each fault."""
+"""HTTP status of each fault code."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerFault:
-    """A request that cannot be taken, and did not run, because of what the caller sent."""
+    """A request that was rejected without running because of what the caller sent."""
 
     code: CallerFaultCode
     message: str
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status of the response."""
         return STATUS_BY_FAULT[self.code]
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/caller_request.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/caller_request.py
@@ -1,4 +1,4 @@
-"""A request that passed every check at the entry."""
+"""A request that passed all checks of the entry."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One call of a client account, with what routing and the agent need to know of it."""
+    """A validated call of a client account, with the data for routing and for the agent."""
 
     request_id: str
     account: str
@@ -19,29 +19,29 @@
     tier: int
     kind: BackendKind
     target: str
-    """Model or service name."""
+    """Name of the model or the service."""
     method: str
     path: str
     headers: tuple[Header, ...]
-    """Headers that go on to the backend server."""
+    """Headers to forward to the backend server."""
     body: bytes
     arrived_at: Instant
     deadline: Instant
-    """When the caller no longer waits for the first token or the answer."""
+    """Time until which the caller waits for the first token or the complete response."""
     streamed: bool = False
-    """Whether the answer is a stream of events."""
+    """Whether the response is a stream of server-sent events."""
     idempotent: bool = True
     prompt_tokens: int = 0
     expected_tokens: int = 0
     prefix_hash: int = 0
     order_key: str = ""
-    """Idempotency key; the agent scopes it by the client account."""
+    """Idempotency key; the agent scopes it to the client account."""
     body_digest: bytes = b""
     order_time: float = 0.0
     traceparent: str = ""
 
     def route_query(self) -> RouteQuery:
-        """Return what the router needs to know."""
+        """Return the routing query for this request."""
         return RouteQuery(
             request_id=self.request_id,
             target=self.target,
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/chat_request.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/chat_request.py
@@ -1,4 +1,4 @@
-"""Checks the body of a chat completion; keys that the system does not use pass through unread."""
+"""Validates the body of a chat completion; unknown keys are passed through unchecked."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from .caller_faults import CallerFault, CallerFaultCode
 
 PREFIX_LENGTH = 512
-"""Characters of the prompt that make the affinity hash."""
+"""Number of leading characters of the prompt that enter the hash for cache affinity."""
 
 CHARACTERS_PER_TOKEN = 4
-"""Rough length of a token, for estimates before the engine has counted."""
+"""Approximate length of a token, for estimates before the engine reports a count."""
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """One part of a message's content."""
+    """One part of the content of a message."""
 
     type: str
     text: str = ""
@@ -31,14 +31,14 @@
 
     @property
     def text(self) -> str:
-        """The text of the content."""
+        """The content as plain text."""
         if isinstance(self.content, list):
             return "".join(part.text for part in self.content)
         return self.content or ""
 
 
 class ChatRequest(msgspec.Struct, frozen=True):
-    """What the system reads of a chat completion's body."""
+    """The keys of a chat completion body that the system reads."""
 
     model: str
     messages: list[ChatMessage]
@@ -48,21 +48,21 @@
     priority: Any = msgspec.UNSET
     """Reserved: the system sets it from the request class."""
     resume: Any = msgspec.UNSET
-    """Reserved: the system sets it where it resumes an answer."""
+    """Reserved: the system sets it to resume an interrupted answer."""
 
     @property
     def expected_tokens(self) -> int:
-        """Longest answer that the caller asked for, 0 where it did not say."""
+        """Maximum length of the answer that the caller requested, 0 if not specified."""
         return max(0, self.max_completion_tokens or self.max_tokens or 0)
 
     @property
     def prompt_tokens(self) -> int:
-        """Estimated length of the prompt."""
+        """Estimated length of the prompt in tokens."""
         return sum(len(message.text) for message in self.messages) // CHARACTERS_PER_TOKEN + 1
 
     @property
     def prefix_hash(self) -> int:
-        """Hash of the prompt's start, for cache affinity."""
+        """Hash of the model and the start of the prompt, for cache affinity."""
         prefix = ""
         for message in self.messages:
             prefix += f"{message.role}\n{message.text}\n"
@@ -75,10 +75,10 @@
 
 
 def read_chat_request(body: bytes) -> ChatRequest | CallerFault:
-    """Check the body of a chat completion.
+    """Decode and validate the body of a chat completion.
 
     Args:
-        body: The whole body.
+        body: The complete request body.
     """
     try:
         request = _decoder.decode(body)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/__init__.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of the binary `ragwortwing`."""
+"""Commands of the `ragwortwing` command line interface."""
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/_operator.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/_operator.py
@@ -1,4 +1,4 @@
-"""What the operator's commands share: the log's address, the exit codes and the output."""
+"""Shared code of the operator commands: common options, exit codes and output."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit codes of the operator commands."""
 
     OK = 0
     REFUSED = 1
-    """Something else is in force than the operator thought, or the state does not allow it."""
+    """Another revision is in force than the operator assumed, or the state forbids the change."""
     BAD_INPUT = 2
-    """The file or the arguments have faults."""
+    """The file or the arguments are invalid."""
     LOG_UNAVAILABLE = 3
-    """The log could not be used; nothing was changed."""
+    """The log is unavailable; nothing was changed."""
     UNKNOWN = 4
-    """The fate of the append is not known; `config history` will show it."""
+    """It is unknown whether the record was appended; `config history` shows it later."""
 
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """Where and how a command answers."""
+    """Prints the results and errors of a command, as text or as JSON."""
 
     as_json: bool
 
     def show(self, text: str, value: Any) -> None:
-        """Print a result, as text or as JSON."""
+        """Print a result."""
         click.echo(msgspec.json.encode(value).decode() if self.as_json else text)
 
     def fail(self, code: ExitCode, text: str, value: dict[str, Any]) -> NoReturn:
-        """Print why a command failed, and end the process."""
+        """Print an error and exit with the given code."""
         if self.as_json:
             click.echo(msgspec.json.encode(value).decode())
         else:
@@ -64,7 +64,7 @@
         sys.exit(code)
 
     def fail_on_faults(self, faults: tuple[Fault, ...], code: ExitCode) -> NoReturn:
-        """Print every fault of a document, and end the process."""
+        """Print every fault of a document and exit."""
         listed = [{"path": fault.path, "message": fault.message} for fault in faults]
         text = "\n".join(str(fault) for fault in faults)
         self.fail(code, text, {"result": "invalid", "faults": listed})
@@ -84,7 +84,7 @@
     "--settings",
     type=click.Path(path_type=Path),
     is_eager=True,
-    help="Settings file of an entry, for the log's address.",
+    help="Settings file of an entry, to read the log's address from.",
 )
 log_option = click.option(
     "--log",
@@ -96,28 +96,37 @@
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="Answer as JSON.")
 operator_option = click.option(
-    "--operator", default=getpass.getuser, help="Name for the history; yours if left out."
+    "--operator",
+    default=getpass.getuser,
+    help="Operator name for the history; defaults to your user name.",
 )
 note_option = click.option("--note", default="", help="Remark for the history.")
 
 
 def read_file(path: Path, output: Output) -> dict[str, Any]:
-    """Return the document of a TOML file, or end the process."""
+    """Return the document of a TOML file, or exit if it cannot be read."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         output.fail_on_faults((Fault(str(path), str(error)),), ExitCode.BAD_INPUT)
 
 
-def with_publisher(
+def run_with_publisher(
     log_address: str | None,
     output: Output,
     work: Callable[[ConfigurationPublisher], Awaitable[None]],
     operator: str = "",
 ) -> None:
-    """Read the configuration stream to its end and do a command's work on it."""
+    """Read the configuration stream to its end and run a command on it.
+
+    Args:
+        log_address: Address of the platform's log.
+        output: Prints errors.
+        work: The command, called with a publisher that is up to date.
+        operator: Name of the operator for published records.
+    """
     if log_address is None:
-        raise click.UsageError("give --log, --settings or RAGWORTWING_LOG")
+        raise click.UsageError("specify --log, --settings or RAGWORTWING_LOG")
 
     async def run() -> None:
         platform = open_platform(log_address)
@@ -134,21 +143,21 @@
 
 
 def fail_unavailable(failure: LogUnavailable, output: Output) -> NoReturn:
-    """Tell that the log could not be used, and end the process."""
-    text = f"the log cannot be used ({failure.cause}); nothing was changed"
+    """Report that the log is unavailable and exit."""
+    text = f"the log is unavailable ({failure.cause}); nothing was changed"
     value = {"result": "log_unavailable", "cause": failure.cause}
     output.fail(ExitCode.LOG_UNAVAILABLE, text, value)
 
 
-def tell_result(result: PublishResult, output: Output) -> None:
-    """Print what became of the operator's own record; end the process unless it was accepted."""
+def print_result(result: PublishResult, output: Output) -> None:
+    """Print the result of publishing a record, and exit unless it was accepted."""
     match result:
         case Accepted():
             text = f"accepted: revision {result.revision}, preset {result.preset}"
             output.show(text, {"result": "accepted"} | asdict(result))
         case Conflict():
             text = (
-                f"refused: made from revision {result.base}, but revision "
+                f"refused: based on revision {result.base}, but revision "
                 f"{result.revision_in_force} with preset {result.preset_in_force} is in force"
             )
             output.fail(ExitCode.REFUSED, text, {"result": "conflict"} | asdict(result))
@@ -157,7 +166,7 @@
         case LogUnavailable():
             fail_unavailable(result, output)
         case PublishUnknown():
-            text = f"not known whether record {result.record_id} was appended; see config history"
+            text = f"unknown whether record {result.record_id} was appended; see config history"
             value = {"result": "unknown"} | asdict(result)
             output.fail(ExitCode.UNKNOWN, text, value)
         case _:
@@ -165,23 +174,23 @@
 
 
 def fail_state_lost(output: Output) -> NoReturn:
-    """Tell that nobody can know what is in force, and end the process."""
+    """Report that the configuration in force cannot be determined, and exit."""
     text = (
-        "the records that tell what is in force ran out of the log; "
-        "publish a whole configuration with --unconditional"
+        "the log no longer contains the records that determine the configuration in force; "
+        "publish a complete configuration with --unconditional"
     )
     output.fail(ExitCode.REFUSED, text, {"result": "state_lost"})
 
 
 def require_known_state(publisher: ConfigurationPublisher, output: Output) -> None:
-    """End the process if what is in force is not known."""
+    """Exit if the configuration in force cannot be determined."""
     if not publisher.state.complete:
         fail_state_lost(output)
 
 
 def require_configuration(publisher: ConfigurationPublisher, output: Output) -> None:
-    """End the process if nothing was published yet."""
+    """Exit if no configuration has been published."""
     require_known_state(publisher, output)
     if publisher.state.configuration is None:
-        text = "no configuration was published yet"
+        text = "no configuration has been published yet"
         output.fail(ExitCode.REFUSED, text, {"result": "unconfigured"})
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/config.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/config.py
@@ -1,7 +1,7 @@
-"""`ragwortwing config`: check, publish and look at the published configuration.
+"""`ragwortwing config`: check, publish and inspect the configuration.
 
-Exit codes: 0 done, 1 refused (a conflict, or nothing known to be in force), 2 the file or the
-arguments have faults, 3 the log cannot be used and nothing was changed, 4 not known.
+Exit codes: 0 success, 1 refused (a conflict, or no configuration known to be in force), 2 the file
+or the arguments are invalid, 3 the log is unavailable and nothing was changed, 4 result unknown.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
     log_option,
     note_option,
     operator_option,
+    print_result,
     read_file,
     require_configuration,
     require_known_state,
+    run_with_publisher,
     settings_option,
-    tell_result,
-    with_publisher,
 )
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 
     from ragwortwing_runtime.configuration_publisher import ConfigurationPublisher
 
-FILE = click.Path(path_type=Path, dir_okay=False)
+FILE_TYPE = click.Path(path_type=Path, dir_okay=False)
 
 
 @click.group()
@@ -53,20 +53,24 @@
 
 
 @config.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_TYPE)
 @json_option
 def check(file: Path, as_json: bool) -> None:
     """Check a configuration file and list every fault with its path."""
     output = Output(as_json)
-    read_checked(file, None, output)
-    output.show(f"{file}: sound", {"result": "sound"})
+    read_valid_document(file, None, output)
+    output.show(f"{file}: valid", {"result": "sound"})
 
 
 @config.command()
-@click.argument("file", type=FILE)
-@click.option("--base", type=int, help="Revision it was made from; the one in force if left out.")
-@click.option("--preset", help="Preset in force with it; the one in force if left out.")
-@click.option("--unconditional", is_flag=True, help="Take effect whatever is in force.")
+@click.argument("file", type=FILE_TYPE)
+@click.option(
+    "--base", type=int, help="Revision the file is based on; defaults to the one in force."
+)
+@click.option("--preset", help="Preset to put in force with it; defaults to the current one.")
+@click.option(
+    "--unconditional", is_flag=True, help="Take effect regardless of the revision in force."
+)
 @note_option
 @operator_option
 @settings_option
@@ -83,34 +87,34 @@
     log_address: str | None,
     as_json: bool,
 ) -> None:
-    """Publish a configuration file; accepted is said only once the log has shown it."""
+    """Publish a configuration file; success is reported once the log confirms it."""
     output = Output(as_json)
 
     async def work(publisher: ConfigurationPublisher) -> None:
         if not unconditional:
             require_known_state(publisher, output)
-        chosen = preset or publisher.state.preset
-        if not chosen:
-            raise click.UsageError("the first publication names its --preset")
-        document = read_checked(file, chosen, output)
-        made_from = publisher.state.revision if base is None else base
+        chosen_preset = preset or publisher.state.preset
+        if not chosen_preset:
+            raise click.UsageError("the first publication requires --preset")
+        document = read_valid_document(file, chosen_preset, output)
+        base_revision = publisher.state.revision if base is None else base
         result = await publisher.publish(
-            document, chosen, UNCONDITIONAL if unconditional else made_from, note
+            document, chosen_preset, UNCONDITIONAL if unconditional else base_revision, note
         )
-        tell_result(result, output)
+        print_result(result, output)
 
-    with_publisher(log_address, output, work, operator)
+    run_with_publisher(log_address, output, work, operator)
 
 
 @config.command()
-@click.option("--revision", type=int, help="A former revision; the one in force if left out.")
+@click.option("--revision", type=int, help="An earlier revision; defaults to the one in force.")
 @settings_option
 @log_option
 @json_option
 def show(
     revision: int | None, settings: Path | None, log_address: str | None, as_json: bool
 ) -> None:
-    """Show a configuration as a file that can be changed and published again."""
+    """Show a configuration as a file that can be edited and published."""
     output = Output(as_json)
 
     async def work(publisher: ConfigurationPublisher) -> None:
@@ -124,7 +128,7 @@
         value = {"revision": shown, "document": document}
         output.show(heading + tomli_w.dumps(document), value)
 
-    with_publisher(log_address, output, work)
+    run_with_publisher(log_address, output, work)
 
 
 @config.command()
@@ -132,14 +136,14 @@
 @log_option
 @json_option
 def history(settings: Path | None, log_address: str | None, as_json: bool) -> None:
-    """List what was published and what became of it, as far as the log reaches back."""
+    """List published records and their results, as far back as the log reaches."""
     output = Output(as_json)
 
     async def work(publisher: ConfigurationPublisher) -> None:
         lines = [_history_line(judged) for judged in publisher.history]
         output.show("\n".join(lines), [_history_value(judged) for judged in publisher.history])
 
-    with_publisher(log_address, output, work)
+    run_with_publisher(log_address, output, work)
 
 
 @config.command()
@@ -150,39 +154,39 @@
 def diff(
     sides: tuple[str, ...], settings: Path | None, log_address: str | None, as_json: bool
 ) -> None:
-    """Show what differs between two configurations, each a file or a revision.
+    """Show the differences between two configurations, each a file or a revision.
 
-    OLD is the revision in force if it is left out.
+    OLD defaults to the revision in force.
     """
     output = Output(as_json)
     if len(sides) > 2:
-        raise click.UsageError("give one or two files or revisions")
+        raise click.UsageError("specify one or two files or revisions")
 
     async def work(publisher: ConfigurationPublisher) -> None:
         require_configuration(publisher, output)
         old, new = sides if len(sides) == 2 else (str(publisher.state.revision), sides[0])
         differences = diff_documents(
-            _document_of(publisher, old, output), _document_of(publisher, new, output)
+            _load_document(publisher, old, output), _load_document(publisher, new, output)
         )
         lines = [f"{each.path}: {each.old!r} -> {each.new!r}" for each in differences]
         output.show("\n".join(lines), [asdict(each) for each in differences])
 
-    with_publisher(log_address, output, work)
+    run_with_publisher(log_address, output, work)
 
 
-def read_checked(file: Path, preset: str | None, output: Output) -> dict[str, Any]:
-    """Return the document of a file that has no fault, or end the process."""
+def read_valid_document(file: Path, preset: str | None, output: Output) -> dict[str, Any]:
+    """Return the document of a valid configuration file, or exit if it has faults."""
     document = read_file(file, output)
-    checked = read_document(document, NO_REVISION, preset)
-    if isinstance(checked, Refused):
-        output.fail_on_faults(checked.faults, ExitCode.BAD_INPUT)
+    configuration = read_document(document, NO_REVISION, preset)
+    if isinstance(configuration, Refused):
+        output.fail_on_faults(configuration.faults, ExitCode.BAD_INPUT)
     return document
 
 
 def find_document(
     publisher: ConfigurationPublisher, revision: int, output: Output
 ) -> Mapping[str, Any]:
-    """Return the document of a revision, or end the process."""
+    """Return the document of a revision, or exit if it is not in the log."""
     document = publisher.document_at(revision)
     if document is None:
         text = f"revision {revision} is not in the log, or was never in force"
@@ -191,7 +195,9 @@
     return document
 
 
-def _document_of(publisher: ConfigurationPublisher, side: str, output: Output) -> Mapping[str, Any]:
+def _load_document(
+    publisher: ConfigurationPublisher, side: str, output: Output
+) -> Mapping[str, Any]:
     if side.isdigit():
         return find_document(publisher, int(side), output)
     return read_file(Path(side), output)
@@ -203,7 +209,7 @@
     entry = judged.entry
     if entry is None:
         return value | {"kind": "unreadable"}
-    value |= {"kind": _kind(entry), "record_id": entry.record_id, "preset": entry.preset}
+    value |= {"kind": _entry_kind(entry), "record_id": entry.record_id, "preset": entry.preset}
     if not isinstance(entry, Checkpoint):
         value |= {
             "base": entry.base,
@@ -214,7 +220,7 @@
     return value
 
 
-def _kind(entry: object) -> str:
+def _entry_kind(entry: object) -> str:
     if isinstance(entry, Checkpoint):
         return "checkpoint"
     return "publication" if isinstance(entry, Publication) else "preset_switch"
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/entry.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/entry.py
@@ -1,4 +1,4 @@
-"""`ragwortwing entry run`."""
+"""`ragwortwing entry run`: starts an entry process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 @entry.command()
 @click.option("--settings", "settings_path", type=click.Path(path_type=Path), required=True)
 def run(settings_path: Path) -> None:
-    """Take callers' requests until SIGTERM."""
+    """Serve requests until SIGTERM."""
     settings = read_settings(settings_path, EntrySettings)
     if isinstance(settings, FaultySettings):
         for fault in settings.faults:
@@ -42,7 +42,7 @@
 
 
 async def run_entry(settings: EntrySettings) -> int:
-    """Run the entry of some settings and return its exit code."""
+    """Run an entry with the given settings and return its exit code."""
     clock = SystemClock()
     platform = open_platform(str(settings.platform.log.address))
     feed = ConfigurationFeed(platform.log, clock, Random())
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/inspect.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/inspect.py
@@ -1,4 +1,4 @@
-"""`ragwortwing status`, and what `ragwortwing request` shows of requests and logs."""
+"""`ragwortwing status` and `ragwortwing request`: inspect entries, requests and logs."""
 
 from __future__ import annotations
 
@@ -17,44 +17,45 @@
     from collections.abc import Iterator
 
 TIMEOUT_SECONDS = 5.0
+"""Timeout of each phase of a call to an entry: connect, write and read."""
 
 UNREACHABLE_EXIT_CODE = 1
 NOT_FOUND_EXIT_CODE = 4
 
-operator_address = click.option(
+operator_address_option = click.option(
     "--operator",
     "address",
     required=True,
     metavar="IP:PORT",
-    help="The entry's operator address, as its ready line names it.",
+    help="Operator address of the entry, as printed in its ready line.",
 )
 
 
 @click.command()
-@operator_address
+@operator_address_option
 def status(address: str) -> None:
-    """Show what an entry sees: its phase, the preset in force, its agents."""
-    click.echo(_get(address, "/status"))
+    """Show the state of an entry: its phase, the preset in force and its agents."""
+    click.echo(_fetch_json(address, "/status"))
 
 
 @click.group()
 def request() -> None:
-    """Look at single requests."""
+    """Inspect requests."""
 
 
 @request.command()
-@operator_address
+@operator_address_option
 @click.argument("request_id")
 def show(address: str, request_id: str) -> None:
-    """Show what became of a request."""
-    click.echo(_get(address, f"/requests/{request_id}"))
+    """Show the state and outcome of a request."""
+    click.echo(_fetch_json(address, f"/requests/{request_id}"))
 
 
 @request.command()
 @click.argument("request_id")
 @click.argument("log_files", nargs=-1, required=True, type=click.File("rb"))
 def explain(request_id: str, log_files: tuple[BinaryIO, ...]) -> None:
-    """Tell a request's story from the logs of one or more processes; `-` reads standard input."""
+    """Show the timeline of a request from the logs of its processes; `-` reads standard input."""
     try:
         story = tell_story(request_id, (line for file in log_files for line in file))
     except UnknownRequestError as error:
@@ -64,7 +65,7 @@
         click.echo(f"{line.at:+9.3f} s  {line.process}  {line.text}")
     click.echo(f"cause: {story.cause}")
     if story.skipped:
-        click.echo(f"{story.skipped} lines could not be read and were passed over", err=True)
+        click.echo(f"{story.skipped} unreadable lines were skipped", err=True)
 
 
 @request.command(name="losses")
@@ -72,26 +73,26 @@
 @click.option("--span", default=5.0, show_default=True, help="Seconds of each row.")
 @click.option("--csv", "as_csv", is_flag=True, help="Print comma-separated values.")
 def show_losses(folder: Path, span: float, *, as_csv: bool) -> None:
-    """Tell which requests missed their targets, by route, time and reason.
+    """Show which requests missed their targets, by route, time and reason.
 
-    FOLDER holds the logs of one or more processes; a single file is taken too.
+    FOLDER contains the logs of one or more processes; a single file is accepted too.
     """
     if span <= 0:
         raise click.BadParameter("must be above 0", param_hint="--span")
     files = sorted(folder.rglob("*")) if folder.is_dir() else [folder]
-    table = losses(_lines_of([each for each in files if each.is_file()]), span)
+    table = losses(_read_lines([each for each in files if each.is_file()]), span)
     click.echo(table.to_csv() if as_csv else table.render(), nl=not as_csv)
     if table.skipped:
-        click.echo(f"{table.skipped} lines could not be read and were passed over", err=True)
+        click.echo(f"{table.skipped} unreadable lines were skipped", err=True)
 
 
-def _lines_of(files: list[Path]) -> Iterator[bytes]:
+def _read_lines(files: list[Path]) -> Iterator[bytes]:
     for path in files:
         with path.open("rb") as file:
             yield from file
 
 
-def _get(address: str, path: str) -> str:
+def _fetch_json(address: str, path: str) -> str:
     timeouts = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_SECONDS)
     try:
         response = httpcore.request(
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/preset.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/preset.py
@@ -1,4 +1,4 @@
-"""`ragwortwing preset`: the presets, the one in force, and the switch between them.
+"""`ragwortwing preset`: list presets and switch between them.
 
 The exit codes are those of `ragwortwing config`.
 """
@@ -15,10 +15,10 @@
     log_option,
     note_option,
     operator_option,
+    print_result,
     require_configuration,
+    run_with_publisher,
     settings_option,
-    tell_result,
-    with_publisher,
 )
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         lines = [f"{'*' if name == state.preset else ' '} {name}" for name in names]
         output.show("\n".join(lines), {"presets": names, "in_force": state.preset})
 
-    with_publisher(log_address, output, work)
+    run_with_publisher(log_address, output, work)
 
 
 @preset.command()
@@ -65,12 +65,14 @@
         value = {"preset": state.preset, "revision": state.revision}
         output.show(f"{state.preset} (revision {state.revision})", value)
 
-    with_publisher(log_address, output, work)
+    run_with_publisher(log_address, output, work)
 
 
 @preset.command()
 @click.argument("name")
-@click.option("--base", type=int, help="Revision you saw; the one in force if left out.")
+@click.option(
+    "--base", type=int, help="Revision the switch is based on; defaults to the one in force."
+)
 @note_option
 @operator_option
 @settings_option
@@ -85,7 +87,7 @@
     log_address: str | None,
     as_json: bool,
 ) -> None:
-    """Put a preset in force; accepted is said only once the log has shown it."""
+    """Put a preset in force; success is reported once the log confirms it."""
     output = Output(as_json)
 
     async def work(publisher: ConfigurationPublisher) -> None:
@@ -94,7 +96,7 @@
         assert state.configuration is not None
         if name not in state.configuration.presets_by_name:
             raise click.BadParameter(f"there is no preset {name!r}", param_hint="NAME")
-        made_from = state.revision if base is None else base
-        tell_result(await publisher.use_preset(name, made_from, note), output)
+        base_revision = state.revision if base is None else base
+        print_result(await publisher.use_preset(name, base_revision, note), output)
 
-    with_publisher(log_address, output, work, operator)
+    run_with_publisher(log_address, output, work, operator)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/delivery.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/delivery.py
@@ -1,4 +1,4 @@
-"""Brings the answer of a request to its caller as it comes, and says how the request ended."""
+"""Relays the answer of a request to its caller and reports the outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     outcome_answer,
     outcome_event,
     outcome_headers,
-    with_length,
+    with_content_length,
 )
 from .request_run import Ended, Idle, Part, Pieces
 
@@ -41,26 +41,27 @@
         b"upgrade",
     }
 )
-"""Headers that belong to one connection and are not passed on."""
+"""Response headers that apply to a single connection and are not forwarded."""
 
 
 async def deliver(
     call: HttpCall, run: RequestRun, clock: Clock, keep_alive_seconds: float
 ) -> Outcome | None:
-    """Deliver the answer of a run, and stop the run at once when the caller leaves.
+    """Deliver the answer of a run, and stop the run at once if the caller disconnects.
 
     Args:
         call: The caller's request.
         run: The request in flight.
-        clock: The process's clock.
-        keep_alive_seconds: Time between two comments in a stream that waits for its first token.
+        clock: Monotonic clock for the keep-alive timer.
+        keep_alive_seconds: Interval of keep-alive comments while a stream waits for its
+            first token.
 
     Returns:
-        The outcome; None only where the task was cancelled first.
+        The outcome; None only if the task was cancelled first.
     """
     outcome: Outcome | None = None
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_watch_caller, call, run, nursery.cancel_scope)
+        nursery.start_soon(_watch_for_disconnect, call, run, nursery.cancel_scope)
         run.start()
         if run.request.streamed:
             outcome = await _deliver_stream(call, run, clock, keep_alive_seconds)
@@ -70,9 +71,9 @@
     return outcome or run.outcome
 
 
-async def _watch_caller(call: HttpCall, run: RequestRun, scope: trio.CancelScope) -> None:
-    await call.wait_left()
-    await run.caller_gone()
+async def _watch_for_disconnect(call: HttpCall, run: RequestRun, scope: trio.CancelScope) -> None:
+    await call.wait_disconnected()
+    await run.caller_disconnected()
     scope.cancel()
 
 
@@ -118,17 +119,17 @@
             break
     if isinstance(part.outcome, Completed) and run.head is not None:
         headers = [*_relayed_headers(run), *outcome_headers(part.outcome, request_id)]
-        await call.answer(with_length(Answer(run.head.status, headers, body)))
+        await call.answer(with_content_length(Answer(run.head.status, headers, body)))
     else:
         await call.answer(outcome_answer(part.outcome, request_id))
     return part.outcome
 
 
 async def _deliver_large(call: HttpCall, run: RequestRun, first: Pieces) -> Outcome:
-    """Pass a large answer on as it comes, and break it off where it does not complete.
+    """Relay a large answer as it arrives, and leave its body incomplete if the run fails.
 
-    Its head has gone out before the outcome is known, so a broken body is the only way to say that
-    it is not whole.
+    The response head is sent before the outcome is known, so a truncated body is the only way to
+    signal a failure.
     """
     assert run.head is not None
     headers = [*_relayed_headers(run), (b"x-request-id", run.request.request_id.encode())]
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/entry_app.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/entry_app.py
@@ -1,4 +1,4 @@
-"""The entry process."""
+"""The entry process: accepts requests of callers and runs them through agents."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from ragwortwing_runtime.telemetry import Telemetry
 
 from . import model_routes, operator_routes
-from .account_gate import AccountGate
+from .account_gate import AccountAdmission
 from .agent_pool import AgentPool
 from .answers import fault_answer, outcome_answer
 from .caller_faults import CallerFault, CallerFaultCode
 from .entry_metrics import EntryMetrics
 from .http_call import HttpCall
 from .http_server import HttpServer
-from .intake import Intake, new_intake, new_request_id
+from .intake import RequestContext, new_request_context, new_request_id
 from .request_journal import RequestJournal
 from .request_run import RequestRun
-from .request_server import COME_BACK, RequestServer
+from .request_server import RETRY_DELAY, RequestServer
 from .routes import Audience, find_handlers
 from .service_routes import call_service, find_service
 
@@ -46,17 +46,17 @@
 log = logbook.Logger("entry")
 
 TICK_SECONDS = 0.1
-"""Time between two looks at the timers of answers that are streaming."""
+"""Interval at which the timers of streaming answers are checked."""
 
-LEAVE_TIMEOUT = 0.5
-"""Seconds for leaving the list of VMs at the end of the process; the line lapses without it."""
+LEAVE_TIMEOUT_SECONDS = 0.5
+"""Timeout for leaving the membership list on exit; without it, the membership expires."""
 
 ROUTE_MODULES = (model_routes, operator_routes)
-"""Imported for the routes that they register."""
+"""Modules that register routes when they are imported."""
 
 
 class EntryApp(App):
-    """Takes callers' requests, has agents run them, and tells callers the truth."""
+    """ASGI application that validates requests, runs them through agents and reports outcomes."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
             self.telemetry,
             self.journal,
             self.metrics,
-            AccountGate(members),
+            AccountAdmission(members),
             self._new_run,
         )
         self._server = HttpServer(self, settings.requests.header_bytes)
@@ -101,11 +101,11 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force; None before the first was seen."""
+        """The active configuration; None until the first one has arrived."""
         return self._source.current
 
     async def mount(self) -> Mapping[str, str]:
-        """Follow the platform's services and listen for callers."""
+        """Start the background tasks and the HTTP listeners, and announce the entry."""
         self.nursery.start_soon(self.telemetry.send_spans)
         self.nursery.start_soon(self._tick)
         await self.nursery.start(self._source.run)
@@ -119,7 +119,10 @@
         return {"http": http, "operator": operator}
 
     async def drain(self) -> None:
-        """Let the balancer notice, then take nothing new and wait for what is in flight."""
+        """Announce the shutdown, then refuse new requests and wait for those in flight.
+
+        The delay before refusing gives the load balancer time to stop sending requests.
+        """
         self.pool.draining = True
         self._announce(MemberState.LEAVING)
         await trio.sleep(self.settings.shutdown.leaving_delay.total_seconds())
@@ -127,14 +130,14 @@
         await self.requests.wait_nothing_in_flight()
 
     def unfinished(self) -> tuple[str, ...]:
-        """Return the ids of the requests in flight."""
+        """Return the IDs of the requests in flight."""
         return self.journal.in_flight
 
     async def unmount(self) -> None:
-        """Leave the list, close the callers' connections and send the last spans."""
-        with trio.move_on_after(LEAVE_TIMEOUT):
+        """Leave the membership list, close the callers' connections and flush the spans."""
+        with trio.move_on_after(LEAVE_TIMEOUT_SECONDS):
             await self._members.leave()
-        await self._server.finish()
+        await self._server.close()
         await self.telemetry.flush()
 
     async def __call__(
@@ -143,29 +146,31 @@
         receive: Callable[[], Awaitable[dict[str, Any]]],
         send: Callable[[dict[str, Any]], Awaitable[None]],
     ) -> None:
-        """Answer one request of the ASGI server."""
+        """Handle one ASGI request."""
         if scope["type"] == "http":
-            await self._answer(HttpCall(scope, receive, send))
+            await self._handle(HttpCall(scope, receive, send))
 
     async def require_configuration(self, call: HttpCall) -> Configuration | None:
-        """Return the configuration in force, or answer that there is none."""
+        """Return the active configuration, or answer the call if there is none."""
         if self.configuration is None:
-            outcome = NotRun(NotRunReason.UNCONFIGURED, COME_BACK)
+            outcome = NotRun(NotRunReason.UNCONFIGURED, RETRY_DELAY)
             await call.answer(outcome_answer(outcome, new_request_id()))
         return self.configuration
 
     async def answer_fault(self, call: HttpCall, fault: CallerFault) -> None:
-        """Answer a request that the caller got wrong."""
+        """Log and count an invalid request and answer it with the fault."""
         request_id = new_request_id()
-        self.metrics.faulted(fault.code)
+        self.metrics.count_rejected(fault.code)
         set_log_context(LogContext(request_id))
         log.info("Request refused", code=fault.code, status=fault.status)
         await call.answer(fault_answer(fault, request_id))
 
-    def intake(self, configuration: Configuration, account: str, class_name: str) -> Intake:
-        """Give a new request its id and its deadline."""
+    def new_context(
+        self, configuration: Configuration, account: str, class_name: str
+    ) -> RequestContext:
+        """Create the context of a new request: its ID, class and deadline."""
         request_class = configuration.class_in_force(class_name)
-        return new_intake(account, request_class, self.clock.monotonic())
+        return new_request_context(account, request_class, self.clock.monotonic())
 
     def _announce(self, state: MemberState) -> None:
         settings = self.settings
@@ -181,16 +186,16 @@
         window = self.settings.connections.stream_window
         return RequestRun(request, self.pool, self._router, self._budget, self.clock, window)
 
-    async def _answer(self, call: HttpCall) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         fault = call.check_headers(self.settings.requests.header_bytes)
         if fault is not None:
             await self.answer_fault(call, fault)
             return
-        at_operator = call.server[1] == self._operator_port
-        audience = Audience.OPERATOR if at_operator else Audience.CALLER
+        is_operator_listener = call.server[1] == self._operator_port
+        audience = Audience.OPERATOR if is_operator_listener else Audience.CALLER
         handlers = find_handlers(call.path, audience)
         if handlers is not None:
-            await self._answer_known_path(call, handlers)
+            await self._call_handler(call, handlers)
             return
         configuration = await self.require_configuration(call)
         if configuration is None:
@@ -202,7 +207,7 @@
         message = f"there is no path {call.path!r}"
         await self.answer_fault(call, CallerFault(CallerFaultCode.UNKNOWN_PATH, message))
 
-    async def _answer_known_path(self, call: HttpCall, handlers: Mapping[str, Any]) -> None:
+    async def _call_handler(self, call: HttpCall, handlers: Mapping[str, Any]) -> None:
         handler = handlers.get(call.method)
         if handler is not None:
             await handler(self, call)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/entry_metrics.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/entry_metrics.py
@@ -1,4 +1,4 @@
-"""The entry's metrics."""
+"""Metrics of the entry process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EntryMetrics:
-    """Instruments that are fed as requests end, and gauges that are read on scrape."""
+    """Counters and histograms updated when requests end, and gauges read on scrape."""
 
     def __init__(self, meter: Meter, in_flight: Callable[[], int], agents: Callable[[], int]):
         self._requests = meter.create_counter(
@@ -38,8 +38,8 @@
             "ragwortwing_agents_connected", [_observe(agents)], description="Connected agents"
         )
 
-    def ended(self, record: RequestRecord) -> None:
-        """Count a request that ended."""
+    def count_ended(self, record: RequestRecord) -> None:
+        """Record the outcome, tokens and durations of a finished request."""
         by_class = {"class": record.request_class}
         outcome = {**by_class, "outcome": record.outcome, "reason": record.reason}
         self._requests.add(1, outcome)
@@ -49,8 +49,8 @@
         if record.ended_after is not None:
             self._duration.record(record.ended_after.total_seconds(), by_class)
 
-    def faulted(self, code: str) -> None:
-        """Count a request that the caller got wrong."""
+    def count_rejected(self, code: str) -> None:
+        """Count a request that was rejected as invalid."""
         self._requests.add(1, {"class": "", "outcome": "not_run", "reason": code})
 
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/http_call.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/http_call.py
@@ -1,4 +1,4 @@
-"""One HTTP request as the ASGI server gives it, with bounded reading and plain writing."""
+"""An HTTP request and its response, on top of the ASGI interface."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class CallerLeft(Enum):
-    """The caller closed the connection before its request was whole."""
+    """The caller closed the connection before the request was complete."""
 
     CALLER_LEFT = "caller_left"
 
 
 class HttpCall:
-    """A request and the way back to its caller."""
+    """An HTTP request that is read up to a size limit, and the response to it."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._send = send
 
     def header(self, name: bytes) -> bytes:
-        """Return a header's value, empty where it was not sent."""
+        """Return the value of a header, empty if it was not sent."""
         return self._values_by_name.get(name, b"")
 
     def check_headers(self, limit: int) -> CallerFault | None:
-        """Return the fault of a request whose headers are too large."""
+        """Return a fault if the headers are larger than the limit in bytes."""
         if sum(len(name) + len(value) for name, value in self.headers) <= limit:
             return None
         return CallerFault(
@@ -56,10 +56,10 @@
         )
 
     async def read_body(self, limit: int) -> bytes | CallerFault | CallerLeft:
-        """Read the whole body, but never more than the limit.
+        """Read the complete body, or stop as soon as it exceeds the limit.
 
         Args:
-            limit: Bytes that a body may have.
+            limit: Maximum size of the body in bytes.
         """
         fault = CallerFault(CallerFaultCode.BODY_TOO_LARGE, f"a body may have {limit:,} bytes")
         announced = self.header(CONTENT_LENGTH)
@@ -78,24 +78,24 @@
             if not message.get("more_body", False):
                 return b"".join(pieces)
 
-    async def wait_left(self) -> None:
-        """Wait until the caller has closed the connection."""
+    async def wait_disconnected(self) -> None:
+        """Wait until the caller closes the connection."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
     async def answer(self, answer: Answer) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         await self.start(answer.status, answer.headers)
         await self.finish(answer.body)
 
     async def start(self, status: int, headers: HeaderList) -> None:
-        """Send the head of an answer."""
+        """Send the status and headers of the response."""
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the answer's body."""
+        """Send a chunk of the response body."""
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
     async def finish(self, data: bytes = b"") -> None:
-        """Send the last piece of the answer's body."""
+        """Send the last chunk of the response body."""
         await self._send({"type": "http.response.body", "body": data, "more_body": False})
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/http_server.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/http_server.py
@@ -1,4 +1,4 @@
-"""Serves the entry's application over HTTP/1.1 and HTTP/2 in this process."""
+"""Serves the entry over HTTP/1.1 and HTTP/2 with Hypercorn, in this process."""
 
 from __future__ import annotations
 
@@ -22,68 +22,72 @@
 log = logbook.Logger("http")
 
 KEEP_ALIVE_SECONDS = 75.0
-"""Idle time of a connection; longer than balancers keep theirs, so that they close first."""
+"""Idle timeout of a connection; longer than that of load balancers, so that they close first."""
 
 CLOSE_POLL_SECONDS = 0.01
+"""Interval of the check whether all connections have closed."""
 
-BACKLOG = 1_024
-"""Connections that may wait to be accepted."""
+ACCEPT_BACKLOG = 1_024
+"""Maximum number of connections that wait to be accepted."""
 
-CLOSE_SECONDS = 1.0
-"""Time for the last bytes of answers once nothing is in flight any more."""
+CLOSE_TIMEOUT_SECONDS = 1.0
+"""Time for writing the last bytes of responses once no request is in flight."""
 
-STREAMS_PER_CONNECTION = 1_000
-"""HTTP/2 streams that a balancer may open on one connection."""
+MAX_STREAMS_PER_CONNECTION = 1_000
+"""Maximum number of concurrent HTTP/2 streams on a connection."""
 
-HEADER_MARGIN = 2
-"""The library refuses oversized headers without a body of ours, so its own limit lies higher."""
+HEADER_LIMIT_FACTOR = 2
+"""Ratio of Hypercorn's header limit to ours.
 
+Hypercorn rejects oversized headers without our error body, so its limit is higher than ours.
+"""
 
-class ServerLog:
-    """Sends the server library's messages to our log, and no access log."""
+
+class HypercornLogger:
+    """Forwards Hypercorn's log messages to our log and drops its access log."""
 
     def __init__(self, config: Config) -> None:
         pass
 
     async def access(self, *args: Any) -> None:
-        """Write nothing: each request has its own line."""
+        """Drop the message: the entry logs each request itself."""
 
     async def critical(self, message: str, *args: Any) -> None:
-        """Write a critical message."""
+        """Log a critical message."""
         log.critical(message % args if args else message)
 
     async def error(self, message: str, *args: Any) -> None:
-        """Write an error."""
+        """Log an error."""
         log.error(message % args if args else message)
 
     async def warning(self, message: str, *args: Any) -> None:
-        """Write a warning."""
+        """Log a warning."""
         log.warning(message % args if args else message)
 
     async def info(self, message: str, *args: Any) -> None:
-        """Write a message."""
+        """Log an informational message at debug level."""
         log.debug(message % args if args else message)
 
     async def debug(self, message: str, *args: Any) -> None:
-        """Write a message for debugging."""
+        """Log a debug message."""
         log.debug(message % args if args else message)
 
     async def exception(self, message: str, *args: Any) -> None:
-        """Write the exception being handled."""
+        """Log a message with the current exception."""
         log.exception(message % args if args else message)
 
 
 class CallerConnection(TCPServer):  # type: ignore[misc]
-    """A caller's connection, which writes at once where the socket has room."""
+    """A caller's connection that writes directly to the socket if it has buffer space."""
 
     async def protocol_send(self, event: Event) -> None:
-        """Write bytes of an answer, or pass the event on.
+        """Write response bytes directly to the socket, or delegate the event to Hypercorn.
 
-        The library takes a lock, shields a cancel scope and yields for every write, which costs
-        several times the write itself; one write a token is the entry's main work. Where nothing
-        waits to be written the socket is tried directly, and only what it does not take goes the
-        library's way. The descriptor is asked for each time, as a closed one may stand for another
-        connection by then.
+        Hypercorn takes a lock, shields a cancel scope and yields for every write, which costs
+        several times the write itself. One write per token is the entry's main work. If no other
+        write is pending, this method tries the socket directly and leaves only the remaining bytes
+        to Hypercorn. It looks up the file descriptor each time, because the number of a closed one
+        may have been reused for another connection.
         """
         if not isinstance(event, RawData) or self.send_lock.locked():
             await super().protocol_send(event)
@@ -91,17 +95,18 @@
         try:
             sent = os.write(self.stream.socket.fileno(), event.data)
         except OSError:
-            # Full, or broken: the library's way waits for room, or finds the failure and closes.
+            # The socket is full or broken. Hypercorn waits for buffer space, or detects the error
+            # and closes the connection.
             sent = 0
         if sent < len(event.data):
             await super().protocol_send(RawData(data=event.data[sent:]))
 
 
 class HttpServer:
-    """Listens for callers and owns their connections."""
+    """Accepts callers' connections and closes them on shutdown."""
 
     def __init__(self, application: Any, header_bytes: int) -> None:
-        self._config = _library_config(header_bytes)
+        self._config = _hypercorn_config(header_bytes)
         self._application = wrap_app(application, 0, "asgi")
         self._context = WorkerContext(None)
         self._streams: set[trio.SocketStream] = set()
@@ -114,28 +119,28 @@
         """Serve until cancelled.
 
         Args:
-            addresses: Where to listen; port 0 lets the kernel choose.
-            task_status: Told the addresses in order, once it listens.
+            addresses: Addresses to listen on; the kernel chooses a port for port 0.
+            task_status: Receives the bound addresses in the same order once the server listens.
         """
         listeners: list[trio.SocketListener] = []
         for address in addresses:
             listeners += await trio.open_tcp_listeners(
-                address.port, host=address.host, backlog=BACKLOG
+                address.port, host=address.host, backlog=ACCEPT_BACKLOG
             )
-        names = tuple(_name_of(each) for each in listeners)
+        names = tuple(_format_address(each) for each in listeners)
         async with trio.open_nursery() as nursery:
             await nursery.start(trio.serve_listeners, self._serve, listeners)
             task_status.started(names)
 
-    async def finish(self) -> None:
-        """Let idle connections close, then close what is left."""
+    async def close(self) -> None:
+        """Let idle connections close, then close the remaining ones forcefully."""
         await self._context.terminated.set()
-        with trio.move_on_after(CLOSE_SECONDS):
+        with trio.move_on_after(CLOSE_TIMEOUT_SECONDS):
             while self._streams:
                 await trio.sleep(CLOSE_POLL_SECONDS)
-        # The library shields its writes from cancellation. To a caller that does not read such a
-        # write would never end, and the process would outlive a forced stop until it is killed;
-        # a closed socket ends the write.
+        # Hypercorn shields its writes from cancellation. A write to a caller that does not read
+        # never ends, and the process would survive a forced stop until it is killed. Closing the
+        # socket ends the write.
         for stream in list(self._streams):
             await trio.aclose_forcefully(stream)
 
@@ -148,18 +153,18 @@
             self._streams.discard(stream)
 
 
-def _name_of(listener: trio.SocketListener) -> str:
+def _format_address(listener: trio.SocketListener) -> str:
     host, port = listener.socket.getsockname()[:2]
     return str(Address(host, port))
 
 
-def _library_config(header_bytes: int) -> Config:
+def _hypercorn_config(header_bytes: int) -> Config:
     config = Config()
-    config.logger_class = ServerLog
+    config.logger_class = HypercornLogger
     config.include_server_header = False
     config.keep_alive_timeout = KEEP_ALIVE_SECONDS
     config.keep_alive_max_requests = 1_000_000
-    config.h2_max_concurrent_streams = STREAMS_PER_CONNECTION
-    config.h11_max_incomplete_size = header_bytes * HEADER_MARGIN
-    config.h2_max_header_list_size = header_bytes * HEADER_MARGIN
+    config.h2_max_concurrent_streams = MAX_STREAMS_PER_CONNECTION
+    config.h11_max_incomplete_size = header_bytes * HEADER_LIMIT_FACTOR
+    config.h2_max_header_list_size = header_bytes * HEADER_LIMIT_FACTOR
     return config
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/intake.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/intake.py
@@ -1,4 +1,4 @@
-"""What every kind of call needs before it becomes a request."""
+"""Steps shared by all calls before they become requests: IDs, deadlines and header checks."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 FORWARDED_HEADERS = frozenset(
     {b"accept", b"accept-language", b"content-type", b"idempotency-key", b"user-agent"}
 )
-"""Headers that go on to a backend server; keys and cookies of callers stay here."""
+"""Headers forwarded to backend servers; API keys and cookies of callers are not forwarded."""
 
 REQUEST_ID_BYTES = 12
 
 
 @dataclass(frozen=True, slots=True)
-class Intake:
-    """Identity and times of a new request."""
+class RequestContext:
+    """Identity, class and deadline of a new request."""
 
     request_id: str
     account: str
@@ -40,23 +40,29 @@
 
 
 def new_request_id() -> str:
-    """Return an id that no other request has."""
+    """Return a unique random request ID."""
     return secrets.token_hex(REQUEST_ID_BYTES)
 
 
-def new_intake(account: str, request_class: RequestClass, now: Instant) -> Intake:
-    """Give a new request its id and its deadline."""
+def new_request_context(account: str, request_class: RequestClass, now: Instant) -> RequestContext:
+    """Create the context of a request that arrives now.
+
+    Args:
+        account: Name of the client account.
+        request_class: Class of the request, which sets its deadline.
+        now: The current time.
+    """
     deadline = now + request_class.deadline.total_seconds()
-    return Intake(new_request_id(), account, request_class, now, deadline)
+    return RequestContext(new_request_id(), account, request_class, now, deadline)
 
 
 def forwarded_headers(call: HttpCall) -> tuple[Header, ...]:
-    """Return the headers that go on to the backend server."""
+    """Return the headers to forward to the backend server."""
     return tuple(Header(name, value) for name, value in call.headers if name in FORWARDED_HEADERS)
 
 
 def check_content_type(call: HttpCall) -> CallerFault | None:
-    """Return the fault of a call whose body is not said to be JSON."""
+    """Return a fault if the content type of the call is not JSON."""
     media_type = call.header(CONTENT_TYPE).split(b";")[0].strip().lower()
     if media_type == b"application/json":
         return None
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/model_routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/model_routes.py
@@ -1,4 +1,4 @@
-"""The calls that reach model engines."""
+"""OpenAI-compatible routes for model engines."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 
 from ragwortwing_policy.routing import BackendKind
 
-from .accounts import authenticate, class_of_request
+from .accounts import authenticate, resolve_request_class
 from .answers import json_answer
 from .caller_faults import CallerFault, CallerFaultCode
 from .caller_request import CallerRequest
 from .chat_request import ChatRequest, read_chat_request
-from .intake import AUTHORIZATION, REQUEST_CLASS, Intake, check_content_type, forwarded_headers
+from .intake import (
+    AUTHORIZATION,
+    REQUEST_CLASS,
+    RequestContext,
+    check_content_type,
+    forwarded_headers,
+)
 from .routes import route
 
 if TYPE_CHECKING:
@@ -25,7 +31,7 @@
 
 @route("GET", "/v1/models")
 async def list_models(app: EntryApp, call: HttpCall) -> None:
-    """List the models that callers may name."""
+    """List the available models."""
     configuration = await app.require_configuration(call)
     if configuration is None:
         return
@@ -43,20 +49,20 @@
     configuration = await app.require_configuration(call)
     if configuration is None:
         return
-    request = await _read(app, call, configuration)
+    request = await _read_request(app, call, configuration)
     if isinstance(request, CallerFault):
         await app.answer_fault(call, request)
     elif isinstance(request, CallerRequest):
         await app.requests.serve(call, request, configuration)
 
 
-async def _read(
+async def _read_request(
     app: EntryApp, call: HttpCall, configuration: Configuration
 ) -> CallerRequest | CallerFault | CallerLeft:
     account = authenticate(configuration, call.header(AUTHORIZATION))
     if isinstance(account, CallerFault):
         return account
-    class_name = class_of_request(account, call.header(REQUEST_CLASS))
+    class_name = resolve_request_class(account, call.header(REQUEST_CLASS))
     if isinstance(class_name, CallerFault):
         return class_name
     wrong_type = check_content_type(call)
@@ -70,24 +76,26 @@
         return chat
     if chat.model not in configuration.models_by_name:
         return CallerFault(CallerFaultCode.UNKNOWN_MODEL, f"there is no model {chat.model!r}")
-    intake = app.intake(configuration, account.name, class_name)
-    return _request(intake, call, chat, body)
+    context = app.new_context(configuration, account.name, class_name)
+    return _build_request(context, call, chat, body)
 
 
-def _request(intake: Intake, call: HttpCall, chat: ChatRequest, body: bytes) -> CallerRequest:
+def _build_request(
+    context: RequestContext, call: HttpCall, chat: ChatRequest, body: bytes
+) -> CallerRequest:
     return CallerRequest(
-        request_id=intake.request_id,
-        account=intake.account,
-        request_class=intake.request_class.name,
-        tier=intake.request_class.tier,
+        request_id=context.request_id,
+        account=context.account,
+        request_class=context.request_class.name,
+        tier=context.request_class.tier,
         kind=BackendKind.ENGINE,
         target=chat.model,
         method="POST",
         path=CHAT_PATH,
         headers=forwarded_headers(call),
         body=body,
-        arrived_at=intake.arrived_at,
-        deadline=intake.deadline,
+        arrived_at=context.arrived_at,
+        deadline=context.deadline,
         streamed=chat.stream,
         prompt_tokens=chat.prompt_tokens,
         expected_tokens=chat.expected_tokens,
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/operator_routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/operator_routes.py
@@ -1,4 +1,4 @@
-"""What the balancer, the operator and the metrics scraper ask of an entry."""
+"""Routes for load balancers, operators and metrics scrapers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ragwortwing_runtime.app import Phase
 from ragwortwing_runtime.telemetry import METRICS_CONTENT_TYPE
 
-from .answers import Answer, json_answer, with_length
+from .answers import Answer, json_answer, with_content_length
 from .caller_faults import CallerFault, CallerFaultCode
 from .routes import Audience, route
 
@@ -23,36 +23,37 @@
 
 @route("GET", "/healthz")
 async def health(app: EntryApp, call: HttpCall) -> None:
-    """Say that the process answers."""
+    """Report that the process is alive."""
     await call.answer(json_answer({"phase": app.phase}))
 
 
 @route("GET", "/readyz")
 async def readiness(app: EntryApp, call: HttpCall) -> None:
-    """Say whether the balancer should send callers here."""
+    """Report whether the load balancer should send requests to this entry."""
     configured = app.configuration is not None
-    # An entry that has not dialled its agents yet would refuse what another entry can run.
-    ready = app.phase is Phase.SERVING and configured and app.pool.has_dialled
+    # Until the entry has tried to connect to its agents, it would refuse requests that another
+    # entry can run.
+    ready = app.phase is Phase.SERVING and configured and app.pool.initial_dials_finished
     body = {"ready": ready, "phase": app.phase, "configured": configured}
     await call.answer(json_answer(body, 200 if ready else 503))
 
 
 @route("GET", "/metrics")
 async def metrics(app: EntryApp, call: HttpCall) -> None:
-    """Collect the metrics now."""
+    """Return the metrics in the Prometheus text format."""
     headers = [(b"content-type", METRICS_CONTENT_TYPE.encode())]
-    await call.answer(with_length(Answer(200, headers, app.telemetry.metrics_text())))
+    await call.answer(with_content_length(Answer(200, headers, app.telemetry.metrics_text())))
 
 
 @route("GET", "/status", (Audience.OPERATOR,))
 async def status(app: EntryApp, call: HttpCall) -> None:
-    """Tell an operator what the entry sees."""
+    """Return the state of the entry and its agents."""
     await call.answer(json_answer(entry_status(app)))
 
 
 @route("GET", REQUESTS_PATH + "*", (Audience.OPERATOR,))
 async def show_request(app: EntryApp, call: HttpCall) -> None:
-    """Tell an operator what became of a request."""
+    """Return the record of a request."""
     request_id = call.path.removeprefix(REQUESTS_PATH)
     record = app.journal.get(request_id)
     if record is None:
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentStatus:
-    """What an entry knows of an agent."""
+    """State of a connected agent."""
 
     zone: str
     targets: list[str]
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """What an entry sees."""
+    """State of the entry and its connected agents."""
 
     name: str
     zone: str
@@ -88,7 +89,7 @@
 
 
 def entry_status(app: EntryApp) -> EntryStatus:
-    """Return what an entry sees now."""
+    """Return the current state of the entry."""
     configuration = app.configuration
     return EntryStatus(
         name=app.name,
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/request_journal.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/request_journal.py
@@ -1,4 +1,4 @@
-"""What this entry remembers of requests in flight and of the latest that ended."""
+"""Keeps records of the requests in flight and of the most recently finished ones."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from .caller_request import CallerRequest
     from .request_run import RequestRun
 
-REMEMBERED = 1_000
-"""Ended requests kept."""
+MAX_FINISHED_RECORDS = 1_000
+"""Maximum number of finished requests whose records are kept."""
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request as an operator sees it."""
+    """The record of a request that operators can look up."""
 
     request_id: str
     account: str
@@ -40,25 +40,28 @@
 
 
 class RequestJournal:
-    """Requests by id; memory is bounded by what is in flight and by `REMEMBERED`."""
+    """Request records by ID.
 
-    def __init__(self, remembered: int = REMEMBERED) -> None:
-        self._remembered = remembered
+    Keeps every request in flight and a bounded number of finished ones.
+    """
+
+    def __init__(self, max_finished: int = MAX_FINISHED_RECORDS) -> None:
+        self._max_finished = max_finished
         self._runs_by_id: dict[str, RequestRun] = {}
         self._records_by_id: OrderedDict[str, RequestRecord] = OrderedDict()
 
     @property
     def in_flight(self) -> tuple[str, ...]:
-        """Ids of the requests in flight."""
+        """IDs of the requests in flight."""
         return tuple(self._runs_by_id)
 
     def tick(self, now: Instant) -> None:
-        """Let every request in flight act on time passed."""
+        """Process the expired timers of every request in flight."""
         for run in list(self._runs_by_id.values()):
             run.tick(now)
 
     def begin(self, run: RequestRun, arrived: datetime, trace_id: str) -> RequestRecord:
-        """Open the record of a request."""
+        """Add the record of a new request."""
         request: CallerRequest = run.request
         record = RequestRecord(
             request.request_id,
@@ -73,7 +76,7 @@
         return record
 
     def end(self, run: RequestRun, outcome: Outcome, now: Instant) -> RequestRecord:
-        """Close the record of a request."""
+        """Complete the record of a finished request."""
         request = run.request
         del self._runs_by_id[request.request_id]
         record = self._records_by_id[request.request_id]
@@ -84,11 +87,11 @@
         record.outcome = outcome.kind
         record.reason = "" if isinstance(outcome, Completed) else outcome.reason
         self._records_by_id.move_to_end(request.request_id)
-        self._forget_oldest()
+        self._evict_oldest()
         return record
 
     def get(self, request_id: str) -> RequestRecord | None:
-        """Return the record of a request, None where it is not remembered."""
+        """Return the record of a request, or None if it is not kept."""
         record = self._records_by_id.get(request_id)
         run = self._runs_by_id.get(request_id)
         if record is not None and run is not None:
@@ -103,7 +106,7 @@
             waited = run.first_piece_at - run.request.arrived_at
             record.first_piece_after = timedelta(seconds=waited)
 
-    def _forget_oldest(self) -> None:
-        while len(self._records_by_id) - len(self._runs_by_id) > self._remembered:
+    def _evict_oldest(self) -> None:
+        while len(self._records_by_id) - len(self._runs_by_id) > self._max_finished:
             oldest = next(each for each in self._records_by_id if each not in self._runs_by_id)
             del self._records_by_id[oldest]
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/request_run.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/request_run.py
@@ -1,4 +1,4 @@
-"""Carries one request out: its dispatch decisions go to agents, its answer comes back in parts."""
+"""Runs one request: sends dispatch decisions to agents and returns the answer in parts."""
 
 from __future__ import annotations
 
@@ -36,32 +36,37 @@
     from .caller_request import CallerRequest
 
 EVENT_END = b"\n\n"
-WHOLE_ANSWER_BYTES = 1_048_576
-"""Size up to which a plain service's answer is kept until its outcome is known; a model's whole
-answer is bounded by its context."""
+MAX_BUFFERED_ANSWER_BYTES = 1_048_576
+"""Maximum size of a plain service's answer that is buffered until its outcome is known.
+
+The unstreamed answer of a model needs no limit, because the model's context bounds it.
+"""
 
 CREDIT_BYTES = 8_192
-"""Delivered bytes that are confirmed together; the agent keeps what is not confirmed."""
+"""Number of delivered bytes after which a credit acknowledges them.
+
+The agent keeps unacknowledged bytes for a reattachment.
+"""
 
 STREAMING = "streaming"
-"""State of the dispatch chart in which pieces reach the caller."""
+"""State of the dispatch chart in which chunks are relayed to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pieces:
-    """Bytes of the answer that are ready for the caller."""
+    """Bytes of the answer that are ready to send."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Idle:
-    """Nothing was ready in time."""
+    """No part of the answer was ready in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The request's one outcome; nothing comes after it."""
+    """The final outcome of the request; no part follows."""
 
     outcome: Outcome
 
@@ -74,8 +79,8 @@
 class RequestRun:
     """One request in flight.
 
-    Links call the methods that do not wait, as messages come; the request's own task calls
-    `next_part`, which carries out what the dispatch decided and returns what is ready.
+    Agent links call the synchronous methods when messages arrive. The task of the request calls
+    `next_part`, which executes pending dispatch decisions and returns the next part of the answer.
     """
 
     def __init__(
@@ -89,7 +94,7 @@
     ) -> None:
         self.request = request
         self.head: ResponseHead | None = None
-        """Head of the backend server's answer, once it came."""
+        """Head of the backend server's response; None until it arrives."""
         self.first_piece_at: Instant | None = None
         self._pool = pool
         self._clock = clock
@@ -97,14 +102,14 @@
         self._credit_bytes = min(CREDIT_BYTES, window // 2)
         self._dispatch = Dispatch(request.route_query(), router, budget, request.deadline)
         self._decisions: deque[DispatchDecision] = deque()
-        self._executing = trio.Lock()
+        self._execute_lock = trio.Lock()
         self._changed = trio.Event()
         self.last_agent_id = ""
-        """The agent that had the body last, also after the end; empty where none had it."""
+        """Last agent that received the request body, also after the end; empty if none did."""
         self._links_by_agent_id: dict[str, AgentLink] = {}
         self._ready: list[bytes] = []
-        self._passes_on = request.streamed
-        self._kept_bytes = 0
+        self._is_relaying = request.streamed
+        self._buffered_bytes = 0
         self._partial_event = b""
         self._delivered = DeliveredText()
         self._next_sequence = 0
@@ -114,47 +119,47 @@
 
     @property
     def agent_id(self) -> str | None:
-        """The agent that has the body, if any."""
+        """The agent that currently has the request body, if any."""
         return self._dispatch.agent_id
 
     @property
     def outcome(self) -> Outcome | None:
-        """How the request ended; None while it is in flight."""
+        """Outcome of the request; None while it is in flight."""
         return self._outcome
 
     @property
     def tokens(self) -> int:
-        """Tokens that came so far."""
+        """Number of tokens received so far."""
         return self._dispatch.tokens
 
     @property
     def state(self) -> str:
-        """Where the dispatch stands."""
+        """Current state of the dispatch chart."""
         return self._dispatch.state
 
     def start(self) -> None:
-        """Choose the first agents."""
-        self._decide(self._dispatch.on_start(self._now))
+        """Start the dispatch, which selects the first agents."""
+        self._enqueue_decisions(self._dispatch.on_start(self._now))
 
     def granted(self, agent_id: str, message: Granted) -> None:
-        """Take in a grant."""
-        self._decide(self._dispatch.on_granted(agent_id, self._now))
+        """Process a grant of an agent."""
+        self._enqueue_decisions(self._dispatch.on_granted(agent_id, self._now))
 
     def refused(self, agent_id: str, message: Refused) -> None:
-        """Take in a refusal."""
-        self._decide(self._dispatch.on_refused(agent_id, message.outcome, self._now))
+        """Process a refusal of an agent."""
+        self._enqueue_decisions(self._dispatch.on_refused(agent_id, message.outcome, self._now))
 
-    def head_came(self, agent_id: str, message: ResponseHead) -> None:
-        """Take in the head of the answer."""
+    def head_received(self, agent_id: str, message: ResponseHead) -> None:
+        """Process the head of the response."""
         if agent_id == self.agent_id and self.head is None:
             self.head = message
             self._changed.set()
 
-    def chunk_came(self, agent_id: str, chunk: Chunk) -> None:
-        """Take in a piece of the answer."""
-        # An agent that was given up may go on sending, and one that was attached anew may repeat
-        # what came before the loss. Either would reach the caller as text that stands twice; the
-        # runner and the sequence number tell both apart from what is new.
+    def chunk_received(self, agent_id: str, chunk: Chunk) -> None:
+        """Process a chunk of the answer."""
+        # An abandoned agent may continue to send, and a reattached agent may repeat chunks that
+        # arrived before the connection was lost. Both would duplicate text for the caller. The
+        # agent ID and the sequence number identify them.
         if agent_id != self.agent_id or chunk.sequence < self._next_sequence:
             return
         if chunk.sequence > self._next_sequence:
@@ -165,45 +170,49 @@
         if self.first_piece_at is None:
             self.first_piece_at = self._now
         if self.request.streamed:
-            self._take_events(agent_id, chunk)
+            self._add_events(agent_id, chunk)
         else:
-            self._keep(agent_id, chunk.data)
+            self._buffer_chunk(agent_id, chunk.data)
         self._changed.set()
 
     def ended(self, agent_id: str, message: End) -> None:
-        """Take in the outcome of the run."""
-        self._decide(self._dispatch.on_ended(agent_id, message.outcome, self._now))
+        """Process the outcome that an agent reports."""
+        self._enqueue_decisions(self._dispatch.on_ended(agent_id, message.outcome, self._now))
 
     def agent_lost(self, agent_id: str) -> None:
-        """Take in that nothing more will come from an agent."""
+        """Process the loss of an agent, from which nothing more arrives."""
         self._links_by_agent_id.pop(agent_id, None)
-        self._decide(self._dispatch.on_agent_lost(agent_id, self._now))
+        self._enqueue_decisions(self._dispatch.on_agent_lost(agent_id, self._now))
 
     def attach_message(self, agent_id: str) -> Attach | None:
-        """Return what takes the run up again on a new connection; None where it has no body."""
+        """Return the message that reattaches the run on a new connection.
+
+        Returns None if the agent does not have the request body.
+        """
         if agent_id != self.agent_id or not self._submitted:
             return None
         request = self.request
         return Attach(request.request_id, request.account, self._next_sequence, self._window)
 
-    async def caller_gone(self) -> None:
-        """Stop the work that nobody waits for, at once."""
-        self._decide(self._dispatch.on_caller_gone(self._now))
+    async def caller_disconnected(self) -> None:
+        """Stop the run at once, because the caller has disconnected."""
+        self._enqueue_decisions(self._dispatch.on_caller_gone(self._now))
         await self._execute()
 
     async def next_part(self, idle_at: Instant) -> Part:
         """Return the next part of the answer.
 
-        What the last call returned counts as delivered, so that the agent may send more.
+        The part that the previous call returned counts as delivered, so its bytes are credited to
+        the agent.
 
         Args:
-            idle_at: When to return `Idle` if nothing is ready.
+            idle_at: Time at which to return `Idle` if nothing is ready.
         """
         while True:
             await self._execute()
-            await self._give_credit()
-            if self._ready and (self._passes_on or self._outcome is not None):
-                return self._take_ready()
+            await self._send_credit()
+            if self._ready and (self._is_relaying or self._outcome is not None):
+                return self._pop_ready()
             if self._outcome is not None:
                 return Ended(self._outcome)
             if self._dispatch.state == STREAMING:
@@ -217,19 +226,19 @@
                 await self._wait_until(min(idle_at, self._dispatch.wake_at or idle_at))
 
     def tick(self, now: Instant) -> None:
-        """Let the dispatch act on time passed; called by a shared ticker while streaming.
+        """Process expired timers of the dispatch; a shared ticker calls this while streaming.
 
-        A stream waits for its next token thousands of times, and a timer for each wait would cost
-        as much as relaying the token.
+        A stream waits for its next token thousands of times. A timer for each wait would cost as
+        much as relaying the token.
         """
         wake_at = self._dispatch.wake_at
         if wake_at is not None and now >= wake_at:
-            self._decide(self._dispatch.on_tick(now))
+            self._enqueue_decisions(self._dispatch.on_tick(now))
 
     def close(self) -> None:
-        """Forget the request at every link."""
+        """Unregister the run from every agent link."""
         for link in self._links_by_agent_id.values():
-            link.forget(self.request.request_id)
+            link.remove_run(self.request.request_id)
         self._links_by_agent_id.clear()
 
     @property
@@ -244,23 +253,24 @@
         await self._changed.wait()
         self._changed = trio.Event()
 
-    def _keep(self, agent_id: str, data: bytes) -> None:
-        """Keep a piece of a whole answer until its outcome is known, or it grows too large."""
+    def _buffer_chunk(self, agent_id: str, data: bytes) -> None:
+        """Buffer a chunk of an unstreamed answer until the outcome is known or it is too large."""
         self._ready.append(data)
-        self._kept_bytes += len(data)
-        if not self._passes_on and self._kept_bytes > WHOLE_ANSWER_BYTES:
-            # Kept to its end, one large download would take the entry's memory; a part that the
-            # caller has also rules out that the call is made again elsewhere.
-            self._passes_on = self.request.kind is BackendKind.SERVICE
-            if self._passes_on:
-                self._decide(self._dispatch.on_progress(agent_id, 0, self._now))
-
-    def _take_events(self, agent_id: str, chunk: Chunk) -> None:
+        self._buffered_bytes += len(data)
+        if not self._is_relaying and self._buffered_bytes > MAX_BUFFERED_ANSWER_BYTES:
+            # Buffering a large download to its end would exhaust the entry's memory, so the answer
+            # is relayed from here on. The dispatch is informed because a call whose answer has
+            # partly reached the caller cannot be retried.
+            self._is_relaying = self.request.kind is BackendKind.SERVICE
+            if self._is_relaying:
+                self._enqueue_decisions(self._dispatch.on_progress(agent_id, 0, self._now))
+
+    def _add_events(self, agent_id: str, chunk: Chunk) -> None:
         data = self._partial_event + chunk.data
         self._partial_event = b""
         if not data.endswith(EVENT_END):
-            # An engine that dies within an event would leave the caller half a line, to which the
-            # resumed answer cannot be joined; so only whole events go out.
+            # Only complete events are relayed. If an engine crashed within an event, the caller
+            # would be left with half a line, and the resumed answer could not be appended to it.
             end = data.rfind(EVENT_END) + len(EVENT_END) if EVENT_END in data else 0
             data, self._partial_event = data[:end], data[end:]
         if data.endswith(DONE_EVENT):
@@ -269,17 +279,17 @@
             self._ready.append(data)
             if self.request.idempotent:
                 self._delivered.add(data)
-        self._decide(self._dispatch.on_progress(agent_id, chunk.tokens, self._now))
+        self._enqueue_decisions(self._dispatch.on_progress(agent_id, chunk.tokens, self._now))
 
-    def _take_ready(self) -> Pieces:
+    def _pop_ready(self) -> Pieces:
         data = self._ready[0] if len(self._ready) == 1 else b"".join(self._ready)
         self._ready.clear()
         return Pieces(data)
 
-    async def _give_credit(self) -> None:
-        # A slow caller holds up only its own stream: what was not yet taken is not credited, so
-        # the agent stops at the window and what is kept here is bounded by it.
-        if self._uncredited < self._credit_bytes or (self._ready and self._passes_on):
+    async def _send_credit(self) -> None:
+        # Back-pressure: bytes that the caller has not taken yet are not credited. The agent stops
+        # at the window, which bounds the buffer here, and a slow caller delays only its own stream.
+        if self._uncredited < self._credit_bytes or (self._ready and self._is_relaying):
             return
         link = self._links_by_agent_id.get(self.agent_id or "")
         if link is None:
@@ -288,7 +298,7 @@
         credit = Credit(self.request.request_id, self._next_sequence, self._window)
         await self._send(link, credit)
 
-    def _decide(self, decisions: list[DispatchDecision]) -> None:
+    def _enqueue_decisions(self, decisions: list[DispatchDecision]) -> None:
         if decisions:
             self._decisions.extend(decisions)
             self._changed.set()
@@ -296,13 +306,13 @@
     async def _execute(self) -> None:
         if not self._decisions:
             return
-        async with self._executing:
+        async with self._execute_lock:
             while self._decisions:
-                await self._carry_out(self._decisions.popleft())
+                await self._execute_decision(self._decisions.popleft())
 
-    async def _carry_out(self, decision: DispatchDecision) -> None:
+    async def _execute_decision(self, decision: DispatchDecision) -> None:
         if isinstance(decision, Ask):
-            await self._ask(decision.agent_id)
+            await self._request_reservation(decision.agent_id)
         elif isinstance(decision, SendBody):
             await self._send_body(decision)
         elif isinstance(decision, WithdrawFrom):
@@ -310,13 +320,13 @@
         elif isinstance(decision, Conclude):
             self._conclude(decision.outcome)
 
-    async def _ask(self, agent_id: str) -> None:
-        link = self._pool.link_of(agent_id)
+    async def _request_reservation(self, agent_id: str) -> None:
+        link = self._pool.get_link(agent_id)
         if link is None:
-            self._decide(self._dispatch.on_agent_lost(agent_id, self._now))
+            self._enqueue_decisions(self._dispatch.on_agent_lost(agent_id, self._now))
             return
         self._links_by_agent_id[agent_id] = link
-        link.remember(self)
+        link.add_run(self)
         await self._send(link, self._reservation())
 
     def _reservation(self) -> Reserve:
@@ -341,12 +351,12 @@
         agent_id = decision.agent_id
         link = self._links_by_agent_id.get(agent_id)
         if link is None or not link.is_open:
-            # The grant's connection broke before any byte of the body was given to it, so the
-            # request has not run there, which is more than a loss in general would say.
+            # The connection was lost before any byte of the body was sent, so the request certainly
+            # has not run on this agent. Reporting a lost agent would leave that open.
             not_run = NotRun(NotRunReason.NO_BACKEND)
-            self._decide(self._dispatch.on_ended(agent_id, not_run, self._now))
+            self._enqueue_decisions(self._dispatch.on_ended(agent_id, not_run, self._now))
             return
-        self._start_afresh(decision.resumed)
+        self._reset_answer(decision.resumed)
         request = self.request
         submit = Submit(
             request_id=request.request_id,
@@ -362,26 +372,26 @@
         self.last_agent_id = agent_id
         await self._send(link, submit)
 
-    def _start_afresh(self, resumed: bool) -> None:
+    def _reset_answer(self, resumed: bool) -> None:
         self._next_sequence = 0
         self._uncredited = 0
         self._partial_event = b""
         if not resumed:
             self.head = None
             self._ready.clear()
-            self._kept_bytes = 0
+            self._buffered_bytes = 0
 
     async def _withdraw_from(self, agent_id: str) -> None:
         link = self._links_by_agent_id.pop(agent_id, None)
         if link is not None:
-            link.forget(self.request.request_id)
+            link.remove_run(self.request.request_id)
             await self._send(link, Withdraw(self.request.request_id))
 
     async def _send(self, link: AgentLink, message: Reserve | Submit | Withdraw | Credit) -> None:
         try:
             await link.send(message)
         except ConnectionClosed:
-            # The link finds its connection closed too and tells every run it remembers.
+            # The link detects the closed connection too and notifies all of its runs.
             return
 
     def _conclude(self, outcome: Outcome) -> None:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/request_server.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/request_server.py
@@ -1,4 +1,4 @@
-"""Runs checked requests one by one from arrival to outcome, and accounts for each."""
+"""Runs validated requests from arrival to outcome, with logs, metrics and traces."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     from ragwortwing_runtime.settings import EntrySettings
     from ragwortwing_runtime.telemetry import Telemetry
 
-    from .account_gate import AccountGate
+    from .account_gate import AccountAdmission
     from .caller_request import CallerRequest
     from .entry_metrics import EntryMetrics
     from .http_call import HttpCall
@@ -38,12 +38,12 @@
 
 log = logbook.Logger("request")
 
-COME_BACK = timedelta(seconds=1)
-"""When a caller should try another entry, or this one again."""
+RETRY_DELAY = timedelta(seconds=1)
+"""Delay after which a rejected caller should retry, at this or another entry."""
 
 
 class RequestServer:
-    """Every request that passed the checks goes through here."""
+    """Admits, runs and records every validated request."""
 
     def __init__(
         self,
@@ -52,18 +52,18 @@
         telemetry: Telemetry,
         journal: RequestJournal,
         metrics: EntryMetrics,
-        accounts: AccountGate,
+        admission: AccountAdmission,
         new_run: Callable[[CallerRequest], RequestRun],
     ) -> None:
         self.draining = False
-        """Whether new requests are refused because the VM leaves."""
+        """Whether new requests are refused because the entry is shutting down."""
         self._settings = settings
         self._clock = clock
         self._telemetry = telemetry
         self._journal = journal
         self._metrics = metrics
         self._new_run = new_run
-        self._accounts = accounts
+        self._admission = admission
         self._nothing_in_flight = trio.Event()
 
     async def wait_nothing_in_flight(self) -> None:
@@ -78,9 +78,9 @@
         """Run a request and deliver its answer.
 
         Args:
-            call: The way back to the caller.
-            request: The checked request.
-            configuration: The configuration that it was checked against.
+            call: The HTTP call to answer.
+            request: The validated request.
+            configuration: The configuration that the request was validated against.
         """
         traceparent = call.header(TRACEPARENT).decode("latin-1")
         name = f"entry {request.method} {request.target}"
@@ -93,13 +93,13 @@
                 outcome = await self._run(call, run, configuration)
             finally:
                 run.close()
-                self._ended(run, outcome or run.outcome, span)
+                self._record_end(run, outcome or run.outcome, span)
 
     async def _run(
         self, call: HttpCall, run: RequestRun, configuration: Configuration
     ) -> Outcome | None:
         request = run.request
-        refusal = self._refuse(request, configuration)
+        refusal = self._check_admission(request, configuration)
         if refusal is not None:
             await call.answer(outcome_answer(refusal, request.request_id))
             return refusal
@@ -107,22 +107,24 @@
         try:
             return await deliver(call, run, self._clock, seconds)
         finally:
-            self._accounts.release(request.account, self._clock.monotonic())
+            self._admission.release(request.account, self._clock.monotonic())
 
-    def _refuse(self, request: CallerRequest, configuration: Configuration) -> NotRun | None:
+    def _check_admission(
+        self, request: CallerRequest, configuration: Configuration
+    ) -> NotRun | None:
         if self.draining:
-            return NotRun(NotRunReason.DRAINING, COME_BACK)
+            return NotRun(NotRunReason.DRAINING, RETRY_DELAY)
         if not configuration.admits(request.request_class):
             return NotRun(NotRunReason.SHED_BY_PRESET)
         if len(self._journal.in_flight) > self._settings.requests.open_requests:
-            return NotRun(NotRunReason.OVERLOADED, COME_BACK)
-        return self._accounts.admit(request.account, configuration, self._clock.monotonic())
+            return NotRun(NotRunReason.OVERLOADED, RETRY_DELAY)
+        return self._admission.admit(request.account, configuration, self._clock.monotonic())
 
-    def _ended(self, run: RequestRun, outcome: Outcome | None, span: Span) -> None:
-        # Without an outcome the process itself is being stopped, and the request was cut.
+    def _record_end(self, run: RequestRun, outcome: Outcome | None, span: Span) -> None:
+        # There is no outcome if the process was stopped while the request was in flight.
         outcome = outcome or Failed(FailedReason.STOPPED)
         record = self._journal.end(run, outcome, self._clock.monotonic())
-        self._metrics.ended(record)
+        self._metrics.count_ended(record)
         span.set_attribute("ragwortwing.request_id", record.request_id)
         span.set_attribute("ragwortwing.class", record.request_class)
         span.set_attribute("ragwortwing.outcome", record.outcome)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/routes.py
@@ -1,4 +1,4 @@
-"""Registry of what the entry answers, filled by decorators."""
+"""Route table of the entry, filled by the `route` decorator."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Audience(Enum):
-    """Who may call a path, told apart by the address that is called."""
+    """Who may call a path. The listener that receives the call determines the audience."""
 
     CALLER = "caller"
     OPERATOR = "operator"
@@ -22,8 +22,8 @@
 
 EVERYONE = (Audience.CALLER, Audience.OPERATOR)
 
-PATH_REST = "/*"
-"""End of a path that stands for any rest."""
+PATH_WILDCARD = "/*"
+"""Wildcard suffix of a path, which matches any last segment."""
 
 _handlers_by_path: dict[tuple[Audience, str], dict[str, Handler]] = {}
 
@@ -35,8 +35,8 @@
 
     Args:
         method: The HTTP method.
-        path: The path; one that ends in `/*` stands for any rest without a slash.
-        audiences: Who may call it.
+        path: The path; a final `/*` matches any single segment.
+        audiences: Audiences that may call the route.
     """
 
     def register(handler: Handler) -> Handler:
@@ -48,8 +48,8 @@
 
 
 def find_handlers(path: str, audience: Audience) -> Mapping[str, Handler] | None:
-    """Return the handlers of a path by method, None where the path is not registered."""
+    """Return the handlers of a path by method, or None if the path is not registered."""
     exact = _handlers_by_path.get((audience, path))
     if exact is not None:
         return exact
-    return _handlers_by_path.get((audience, path.rpartition("/")[0] + PATH_REST))
+    return _handlers_by_path.get((audience, path.rpartition("/")[0] + PATH_WILDCARD))
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/service_routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/service_routes.py
@@ -1,4 +1,4 @@
-"""The calls that reach plain services, below the prefixes that the configuration names."""
+"""Routes calls under the configured path prefixes to plain services."""
 
 from __future__ import annotations
 
@@ -18,21 +18,24 @@
 
     from .entry_app import EntryApp
     from .http_call import CallerLeft, HttpCall
-    from .intake import Intake
+    from .intake import RequestContext
 
 IDEMPOTENCY_KEY = b"idempotency-key"
 ORDER_TIME = b"x-order-time"
-"""When the caller made the order, in RFC 3339; it lets an old key be refused."""
+"""Time of the order in RFC 3339, used to refuse expired idempotency keys."""
 
-MAXIMUM_KEY_LENGTH = 200
-ANY_REST = "*"
+MAX_IDEMPOTENCY_KEY_LENGTH = 200
+"""Maximum number of characters of an idempotency key."""
+
+WILDCARD = "*"
+"""Suffix of a route path that matches any remainder."""
 
 
 async def call_service(
     app: EntryApp, call: HttpCall, configuration: Configuration, service: Service
 ) -> None:
-    """Pass a call on to a plain service."""
-    request = await _read(app, call, configuration, service)
+    """Validate a call and forward it to a plain service."""
+    request = await _read_request(app, call, configuration, service)
     if isinstance(request, CallerFault):
         await app.answer_fault(call, request)
     elif isinstance(request, CallerRequest):
@@ -40,7 +43,7 @@
 
 
 def find_service(configuration: Configuration, path: str) -> Service | None:
-    """Return the service whose prefix a path is below; the longest prefix wins."""
+    """Return the service with the longest prefix that matches the path, or None."""
     found = [
         service
         for service in configuration.services_by_name.values()
@@ -50,14 +53,14 @@
 
 
 def find_route(service: Service, method: str, path: str) -> ServiceRoute | CallerFault:
-    """Return the route of a call.
+    """Return the route of a service that matches a call.
 
     Args:
-        service: The service.
-        method: The call's method.
-        path: Path below the service's prefix.
+        service: The service that is called.
+        method: HTTP method of the call.
+        path: Path relative to the service's prefix.
     """
-    matching = [each for each in service.routes if _matches(each.path, path)]
+    matching = [each for each in service.routes if _path_matches(each.path, path)]
     if not matching:
         return CallerFault(CallerFaultCode.UNKNOWN_PATH, f"{service.name} has no path {path!r}")
     for each in matching:
@@ -67,13 +70,13 @@
     return CallerFault(CallerFaultCode.METHOD_NOT_ALLOWED, f"allowed: {allowed}")
 
 
-def _matches(pattern: str, path: str) -> bool:
-    if pattern.endswith(ANY_REST):
-        return path.startswith(pattern.removesuffix(ANY_REST))
+def _path_matches(pattern: str, path: str) -> bool:
+    if pattern.endswith(WILDCARD):
+        return path.startswith(pattern.removesuffix(WILDCARD))
     return path == pattern
 
 
-async def _read(
+async def _read_request(
     app: EntryApp, call: HttpCall, configuration: Configuration, service: Service
 ) -> CallerRequest | CallerFault | CallerLeft:
     account = authenticate(configuration, call.header(AUTHORIZATION))
@@ -86,21 +89,21 @@
     if found.request_class not in account.classes:
         message = f"the account may not use the class {found.request_class!r}"
         return CallerFault(CallerFaultCode.CLASS_NOT_ALLOWED, message)
-    order_time = _order_time(call)
+    order_time = _read_order_time(call)
     if isinstance(order_time, CallerFault):
         return order_time
-    key = _idempotency_key(call)
+    key = _read_idempotency_key(call)
     if isinstance(key, CallerFault):
         return key
     body = await call.read_body(app.settings.requests.body_bytes)
     if not isinstance(body, bytes):
         return body
-    intake = app.intake(configuration, account.name, found.request_class)
-    return _request(intake, call, service, found, body, key, order_time)
+    context = app.new_context(configuration, account.name, found.request_class)
+    return _build_request(context, call, service, found, body, key, order_time)
 
 
-def _request(
-    intake: Intake,
+def _build_request(
+    context: RequestContext,
     call: HttpCall,
     service: Service,
     found: ServiceRoute,
@@ -109,52 +112,52 @@
     order_time: float,
 ) -> CallerRequest:
     is_order = not found.idempotent
-    path = _raw_path_below(service, call)
+    path = _relative_raw_path(service, call)
     return CallerRequest(
-        request_id=intake.request_id,
-        account=intake.account,
-        request_class=intake.request_class.name,
-        tier=intake.request_class.tier,
+        request_id=context.request_id,
+        account=context.account,
+        request_class=context.request_class.name,
+        tier=context.request_class.tier,
         kind=BackendKind.SERVICE,
         target=service.name,
         method=call.method,
         path=path,
         headers=forwarded_headers(call),
         body=body,
-        arrived_at=intake.arrived_at,
-        deadline=intake.deadline,
+        arrived_at=context.arrived_at,
+        deadline=context.deadline,
         idempotent=found.idempotent,
         order_key=key if is_order else "",
-        body_digest=_digest(call.method, path, body) if is_order else b"",
+        body_digest=_request_digest(call.method, path, body) if is_order else b"",
         order_time=order_time if is_order else 0.0,
     )
 
 
-def _raw_path_below(service: Service, call: HttpCall) -> str:
+def _relative_raw_path(service: Service, call: HttpCall) -> str:
     path = call.raw_path.decode("latin-1").removeprefix(service.prefix.rstrip("/")) or "/"
     return f"{path}?{call.query.decode('latin-1')}" if call.query else path
 
 
-def _digest(method: str, path: str, body: bytes) -> bytes:
+def _request_digest(method: str, path: str, body: bytes) -> bytes:
     return hashlib.sha256(b"\n".join((method.encode(), path.encode(), body))).digest()
 
 
-def _idempotency_key(call: HttpCall) -> str | CallerFault:
+def _read_idempotency_key(call: HttpCall) -> str | CallerFault:
     key = call.header(IDEMPOTENCY_KEY).decode("latin-1")
-    if len(key) <= MAXIMUM_KEY_LENGTH and key.isprintable():
+    if len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH and key.isprintable():
         return key
-    message = f"Idempotency-Key may have {MAXIMUM_KEY_LENGTH} printable characters"
+    message = f"Idempotency-Key may have {MAX_IDEMPOTENCY_KEY_LENGTH} printable characters"
     return CallerFault(CallerFaultCode.INVALID_HEADER, message)
 
 
-def _order_time(call: HttpCall) -> float | CallerFault:
+def _read_order_time(call: HttpCall) -> float | CallerFault:
     text = call.header(ORDER_TIME).decode("latin-1")
     if not text:
         return 0.0
     try:
-        made = datetime.fromisoformat(text)
+        parsed = datetime.fromisoformat(text)
     except ValueError:
-        made = None
-    if made is None or made.tzinfo is None:
+        parsed = None
+    if parsed is None or parsed.tzinfo is None:
         return CallerFault(CallerFaultCode.INVALID_HEADER, "x-order-time is a time in RFC 3339")
-    return made.timestamp()
+    return parsed.timestamp()
--- a/packages/ragwortwing-entry/tests/conftest.py
+++ b/packages/ragwortwing-entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the entry's tests."""
+"""Shared fixtures of the entry tests."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-entry/tests/test_entry_app.py
+++ b/packages/ragwortwing-entry/tests/test_entry_app.py
@@ -1,4 +1,4 @@
-"""The entry's contract with its callers: good calls, bad input, outcomes, hang-ups, the stop."""
+"""Tests of the entry towards callers: valid and invalid calls, outcomes, disconnects, shutdown."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         data += await parts.__anext__()
 
 
-async def test_streams_an_answer_and_its_outcome(bench: Bench) -> None:
+async def test_answer_is_streamed_with_final_outcome_event(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1")
     async with trio.open_nursery() as nursery:
 
@@ -75,11 +75,10 @@
     assert b'"type":"completed"' in body
 
 
-async def test_record_of_a_whole_answer_names_its_agent_and_counts_its_tokens(bench: Bench) -> None:
-    """An operator looks up a request that a caller asked for in one piece.
+async def test_record_of_unstreamed_answer_has_agent_and_token_count(bench: Bench) -> None:
+    """The record of an unstreamed answer must keep its agent and token count after the end.
 
-    The agent counts the tokens of such an answer, as the entry sees none of them; the record is to
-    show them and the agent, also after the end.
+    The entry cannot count the tokens of such an answer, so the agent reports the number.
     """
     agent = await bench.add_agent("agent-1")
     async with trio.open_nursery() as nursery:
@@ -123,7 +122,7 @@
         ("POST", "/desk/orders", KEY | {"idempotency-key": "a" * 201}, b"", 400, None),
     ],
 )
-async def test_each_fault_of_a_caller_has_its_code(
+async def test_invalid_call_is_rejected_with_status_and_code(
     bench: Bench,
     method: str,
     path: str,
@@ -150,7 +149,7 @@
         (Failed(FailedReason.BACKEND_ERROR, 500), 502, "failed"),
     ],
 )
-async def test_tells_what_an_agent_says_of_an_order(
+async def test_outcome_reported_by_agent_reaches_caller(
     bench: Bench, outcome: Any, status: int, kind: str
 ) -> None:
     agent = await bench.add_agent("agent-1", BackendKind.SERVICE, "desk")
@@ -169,7 +168,7 @@
     assert answered.headers["x-ragwortwing-reason"] == outcome.reason
 
 
-async def test_no_agent_is_said_at_once_with_a_time_to_come_back(bench: Bench) -> None:
+async def test_request_without_agent_is_refused_with_retry_delay(bench: Bench) -> None:
     answered = await bench.call("POST", CHAT_PATH, CHAT)
     assert answered.status == 503
     assert answered.headers["x-ragwortwing-reason"] == "no_backend"
@@ -177,14 +176,14 @@
     assert answered.json()["error"]["retry_after_ms"] == 2_000
 
 
-async def test_a_class_that_the_preset_does_not_admit_is_not_run(bench: Bench) -> None:
+async def test_class_not_admitted_by_preset_is_refused(bench: Bench) -> None:
     assert bench.feed.current is not None
     bench.feed.current = replace(bench.feed.current, preset="maintenance")
     answered = await bench.call("POST", CHAT_PATH, CHAT)
     assert answered.headers["x-ragwortwing-reason"] == "shed_by_preset"
 
 
-async def test_an_account_over_its_limit_is_told_so(bench: Bench) -> None:
+async def test_account_over_concurrency_limit_is_refused(bench: Bench) -> None:
     assert bench.feed.current is not None
     account = replace(bench.feed.current.accounts_by_name["suva"], concurrency=1)
     bench.feed.current = replace(bench.feed.current, accounts_by_name={"suva": account})
@@ -196,7 +195,7 @@
     assert answered.headers["x-ragwortwing-reason"] == "concurrency_limited"
 
 
-async def test_relays_a_plain_service_with_its_own_status(bench: Bench) -> None:
+async def test_response_of_plain_service_keeps_its_status(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1", BackendKind.SERVICE, "desk")
     async with trio.open_nursery() as nursery:
 
@@ -211,11 +210,8 @@
     assert answered.headers["x-ragwortwing-outcome"] == "completed"
 
 
-async def test_a_hang_up_withdraws_the_work_at_once(bench: Bench) -> None:
-    """A buyer closes the page in the middle of an answer; nobody reads what follows.
-
-    The entry must tell the agent at once, or the engine's slot works for nobody.
-    """
+async def test_disconnect_of_caller_withdraws_request(bench: Bench) -> None:
+    """Guards against an engine slot that stays occupied after the caller disconnects mid-answer."""
     agent = await bench.add_agent("agent-1")
     host, port = bench.listen["http"].split(":")
     stream = await trio.open_tcp_stream(host, int(port))
@@ -236,11 +232,11 @@
     assert (record.outcome, record.reason) == ("failed", "caller_gone")
 
 
-async def test_an_answer_goes_on_after_a_lost_connection(bench: Bench) -> None:
-    """A reader sees half an answer; then the connection between entry and agent breaks.
+async def test_answer_continues_after_reconnect_to_agent(bench: Bench) -> None:
+    """Guards against lost or duplicated text when the connection to the agent breaks mid-answer.
 
-    The agent lives on and its engine goes on writing. The entry dials anew and takes the answer up
-    after the last piece it has; a piece that comes twice must not stand twice in the text.
+    The agent and its engine continue. The entry reconnects and reattaches after the last chunk it
+    received; a repeated chunk must not be delivered twice.
     """
     agent = await bench.add_agent("agent-1")
     async with trio.open_nursery() as nursery:
@@ -262,10 +258,10 @@
     assert body.startswith(event("one ") + event("two") + b"event: outcome")
 
 
-async def test_an_answer_resumes_at_another_engine_after_a_crash(bench: Bench) -> None:
-    """A reader sees half an answer; then the VM of its engine is gone, in the middle of an event.
+async def test_answer_resumes_on_another_engine_after_crash(bench: Bench) -> None:
+    """Guards against a broken answer when the VM of an engine crashes in the middle of an event.
 
-    Another engine goes on after the text that the reader has, and no half event reached the reader.
+    Another engine continues after the delivered text, and the caller never sees a partial event.
     """
     agents = [await bench.add_agent("agent-1"), await bench.add_agent("agent-2")]
     crashed = trio.Event()
@@ -291,10 +287,10 @@
     assert body.startswith(event("one ") + event("two") + b"event: outcome")
 
 
-async def test_an_order_on_a_lost_agent_is_unknown(bench: Bench) -> None:
-    """A family's order is at the desk when the desk's VM is gone; nobody knows whether it ran.
+async def test_order_on_lost_agent_has_unknown_outcome(bench: Bench) -> None:
+    """Guards against running an order twice when its agent is lost.
 
-    Another desk is there and free, but sending the order again could bake the cake twice.
+    Nobody knows whether the order ran, so it must not be sent to another free agent.
     """
     lost = await bench.add_agent("agent-1", BackendKind.SERVICE, "desk")
     async with trio.open_nursery() as nursery:
@@ -313,10 +309,10 @@
     assert answered.headers["x-ragwortwing-reason"] == "backend_lost"
 
 
-async def test_a_planned_stop_finishes_what_is_in_flight() -> None:
-    """The platform replaces an entry VM while a buyer reads an answer.
+async def test_planned_stop_finishes_requests_in_flight() -> None:
+    """Guards against a planned shutdown that cuts off answers in progress.
 
-    Readiness drops and a new request is told to come back, but the answer is not cut.
+    While draining, readiness reports 503 and new requests are refused.
     """
     async with running_entry() as bench:
         agent = await bench.add_agent("agent-1")
@@ -336,7 +332,7 @@
     assert bench.exit_code == 0
 
 
-async def test_a_second_signal_ends_the_stop_and_says_what_was_cut() -> None:
+async def test_second_stop_cuts_requests_in_flight() -> None:
     async with running_entry() as bench:
         agent = await bench.add_agent("agent-1")
         async with bench.stream():
@@ -349,7 +345,7 @@
     assert bench.exit_code == CUT_EXIT_CODE
 
 
-async def test_one_span_and_one_trace_for_the_hop(bench: Bench) -> None:
+async def test_span_continues_trace_of_caller(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1", BackendKind.SERVICE, "desk")
     trace = "0af7651916cd43dd8448eb211c80319c"
     async with trio.open_nursery() as nursery:
@@ -368,7 +364,7 @@
     assert span.attributes["ragwortwing.outcome"] == "completed"
 
 
-async def test_whoever_is_behind_asks_the_other(bench: Bench) -> None:
+async def test_entry_and_agent_exchange_missing_configuration_records(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1")
     await agent.send(Heartbeat(1, revision=9))
     assert (await agent.next(ConfigurationRequest)).offset == bench.feed.state.position
@@ -380,7 +376,7 @@
     assert (await agent.next(ConfigurationRecords)).records == (record,)
 
 
-async def test_a_leaving_agent_gets_nothing_new(bench: Bench) -> None:
+async def test_leaving_agent_gets_no_new_requests(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1")
     bench.members.set(agent.member(MemberState.LEAVING))
     await agent.send(Heartbeat(1, revision=3))
@@ -389,7 +385,7 @@
     assert answered.headers["x-ragwortwing-reason"] == "no_backend"
 
 
-async def test_an_operator_sees_the_entry_and_its_requests(bench: Bench) -> None:
+async def test_operator_can_read_status_request_and_metrics(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1")
     async with bench.stream():
         submit = await agent.grant()
--- a/packages/ragwortwing-entry/tests/test_entry_command.py
+++ b/packages/ragwortwing-entry/tests/test_entry_command.py
@@ -1,4 +1,4 @@
-"""The command that runs an entry: faulty settings end it before anything is opened."""
+"""Tests of the entry command with invalid settings and of the status command without an entry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from pathlib import Path
 
 
-def test_every_fault_of_the_settings_is_printed(tmp_path: Path) -> None:
+def test_every_settings_fault_is_printed(tmp_path: Path) -> None:
     path = tmp_path / "entry.toml"
     path.write_text('name = "entry-1"\nzone = 3\ncolour = "blue"\n')
     result = CliRunner().invoke(main, ["entry", "run", "--settings", str(path)])
@@ -22,7 +22,7 @@
         assert fault in result.output
 
 
-def test_an_operator_address_without_an_entry_is_said() -> None:
+def test_status_of_unreachable_entry_fails() -> None:
     result = CliRunner().invoke(main, ["status", "--operator", "127.0.0.1:1"])
     assert result.exit_code == 1
     assert "gave no answer: ConnectError" in result.output
--- a/packages/ragwortwing-entry/tests/test_http_server.py
+++ b/packages/ragwortwing-entry/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The server towards callers: both versions of HTTP, callers that do not read, a forced stop."""
+"""Tests of the HTTP server: HTTP/2, large answers, slow callers and forced shutdown."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import trio
 from entry_bench import AUTHORIZED, CHAT, CHAT_PATH, running_entry
 
-from ragwortwing_entry.request_run import WHOLE_ANSWER_BYTES
+from ragwortwing_entry.request_run import MAX_BUFFERED_ANSWER_BYTES
 from ragwortwing_policy.outcomes import Completed, Outcome, Unknown, UnknownReason
 from ragwortwing_policy.routing import BackendKind
 from ragwortwing_runtime.app import CUT_EXIT_CODE
@@ -21,11 +21,11 @@
 
 EVENT = b'data: {"choices":[{"delta":{"content":" x"}}]}\n\n'
 LARGE_EVENT = b'data: {"choices":[],"x":"' + b"x" * 500_000 + b'"}\n\n'
-MORE_THAN_SOCKETS_HOLD = 40
-"""Large events; sockets of loopback hold some megabytes on either side."""
+EVENTS_BEYOND_SOCKET_BUFFERS = 40
+"""Number of large events; loopback socket buffers hold a few megabytes on each side."""
 
 
-async def ask_without_reading(bench: Bench) -> trio.SocketStream:
+async def open_stalled_call(bench: Bench) -> trio.SocketStream:
     host, _, port = bench.listen["http"].partition(":")
     stream = await trio.open_tcp_stream(host, int(port))
     body = msgspec.json.encode(CHAT)
@@ -35,14 +35,14 @@
     return stream
 
 
-async def send_too_much(agent: FakeAgent) -> str:
+async def fill_socket_buffers(agent: FakeAgent) -> str:
     submit = await agent.grant()
-    for sequence in range(MORE_THAN_SOCKETS_HOLD):
+    for sequence in range(EVENTS_BEYOND_SOCKET_BUFFERS):
         await agent.chunk(submit.request_id, sequence, LARGE_EVENT)
     return submit.request_id
 
 
-async def test_streams_over_http_2(bench: Bench) -> None:
+async def test_answer_is_streamed_over_http_2(bench: Bench) -> None:
     agent = await bench.add_agent("agent-1")
 
     async def serve() -> None:
@@ -64,13 +64,13 @@
 
 
 @pytest.mark.parametrize("outcome", [Completed(), Unknown(UnknownReason.BACKEND_LOST)])
-async def test_a_large_answer_is_whole_or_breaks_off(bench: Bench, outcome: Outcome) -> None:
-    """A desk sends a long export, and its VM is gone before the end.
+async def test_large_answer_is_complete_or_truncated(bench: Bench, outcome: Outcome) -> None:
+    """Guards against a truncated answer that looks complete when a service is lost mid-response.
 
-    The export's head is with the caller by then, so only a body that breaks off can tell them.
+    The head has already been sent, so only an incomplete body can signal the failure.
     """
     agent = await bench.add_agent("agent-1", BackendKind.SERVICE, "desk")
-    piece = b"x" * (WHOLE_ANSWER_BYTES // 2 + 1)
+    piece = b"x" * (MAX_BUFFERED_ANSWER_BYTES // 2 + 1)
 
     async def serve() -> None:
         request_id = (await agent.grant()).request_id
@@ -88,14 +88,11 @@
                 await bench.call("GET", "/desk/orders/export")
 
 
-async def test_a_caller_that_does_not_read_holds_up_nobody_else(bench: Bench) -> None:
-    """One caller's line stands still in the middle of a long answer, while another one asks.
-
-    The write to the first caller waits; the second caller's answer must not wait with it.
-    """
+async def test_stalled_caller_does_not_delay_other_callers(bench: Bench) -> None:
+    """Guards against a blocked write to one caller that delays the answers of other callers."""
     agent = await bench.add_agent("agent-1")
-    stuck = await ask_without_reading(bench)
-    await send_too_much(agent)
+    stuck = await open_stalled_call(bench)
+    await fill_socket_buffers(agent)
 
     async def serve() -> None:
         submit = await agent.grant()
@@ -109,15 +106,15 @@
     await stuck.aclose()
 
 
-async def test_a_forced_stop_ends_a_write_that_waits_for_its_caller() -> None:
-    """An operator stops an entry twice while a caller's line stands still.
+async def test_forced_stop_ends_write_to_stalled_caller() -> None:
+    """Guards against a forced shutdown that hangs on a caller that does not read.
 
-    The write to that caller cannot be cancelled; only a closed socket ends it, and the process.
+    Hypercorn shields the write from cancellation; only closing the socket ends it.
     """
     async with running_entry() as bench:
         agent = await bench.add_agent("agent-1")
-        stuck = await ask_without_reading(bench)
-        request_id = await send_too_much(agent)
+        stuck = await open_stalled_call(bench)
+        request_id = await fill_socket_buffers(agent)
         bench.app.stop()
         await bench.wait_until(lambda: bench.app.requests.draining)
         assert bench.app.unfinished() == (request_id,)
--- a/packages/ragwortwing-entry/tests/test_operator_commands.py
+++ b/packages/ragwortwing-entry/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Contract of the operator's commands: what they answer and with which exit code, by fault."""
+"""Output and exit codes of the operator commands, including failures of the log."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Site:
-    """A log and the commands that are run against it."""
+    """A log server and helpers that run commands against it."""
 
     def __init__(self, listen: dict[str, str], directory: Path) -> None:
         self.control = listen["control"]
@@ -88,10 +88,10 @@
     assert "wedding season" in site.run("config", "history").stdout
 
 
-def test_the_loser_of_a_race_is_told_what_is_in_force(site: Site) -> None:
-    """Two operators look at revision 0; one switches the preset, then the other publishes.
+def test_conflicting_publication_is_refused_with_state_in_force(site: Site) -> None:
+    """Guards against a publication that silently undoes a concurrent preset switch.
 
-    The second must not undo the switch by accident, and must learn of it.
+    Both changes are based on revision 0; the second is refused and learns what is in force.
     """
     site.publish_first()
     assert site.json("preset", "use", "peak", "--base", "0")[0] == 0
@@ -106,7 +106,7 @@
     assert site.json("preset", "current")[1] == {"preset": "peak", "revision": 1}
 
 
-def test_a_faulty_file_is_refused_with_every_fault(site: Site) -> None:
+def test_invalid_file_is_refused_with_all_faults(site: Site) -> None:
     site.file.write_text(DOCUMENT.replace("tier = 0", "tier = 99\ncolour = 1") + "x = 1\n")
     code, value = site.json("config", "publish", str(site.file), "--preset", "ordinary")
     assert code == 2
@@ -128,24 +128,26 @@
         (("config", "publish", "/nowhere.toml", "--preset", "ordinary"), 2),
     ],
 )
-def test_before_the_first_publication(site: Site, arguments: tuple[str, ...], code: int) -> None:
+def test_exit_codes_before_first_publication(
+    site: Site, arguments: tuple[str, ...], code: int
+) -> None:
     assert site.run(*arguments).exit_code == code
 
 
-def test_an_unknown_preset_or_revision_is_bad_input(site: Site) -> None:
+def test_unknown_preset_or_revision_is_bad_input(site: Site) -> None:
     site.publish_first()
     assert site.run("preset", "use", "nope").exit_code == 2
     assert site.run("config", "show", "--revision", "9").exit_code == 2
 
 
-def test_an_outage_changes_nothing_and_says_so(site: Site) -> None:
+def test_log_outage_is_reported(site: Site) -> None:
     site.publish_first()
     site.fault("outage")
     code, value = site.json("preset", "use", "peak")
     assert (code, value) == (3, {"result": "log_unavailable", "cause": "outage"})
 
 
-def test_a_lost_reply_is_settled_by_reading(site: Site) -> None:
+def test_publication_succeeds_after_lost_reply(site: Site) -> None:
     site.publish_first()
     site.fault("lose_reply")
     assert site.json("preset", "use", "peak")[0] == 0
@@ -153,10 +155,11 @@
     assert len(site.json("config", "history")[1]) == 2
 
 
-def test_what_ran_out_of_the_log_is_not_guessed(site: Site) -> None:
-    """Every process was down for longer than the log keeps records, and no checkpoint is left.
+def test_change_is_refused_after_log_lost_its_state(site: Site) -> None:
+    """Guards against changes on top of an unknown state after the log has trimmed its records.
 
-    Nobody can know what was in force; only a whole publication that says so starts anew.
+    This happens if every process was down for longer than the log's retention, so that no
+    checkpoint is left. Only an unconditional publication of a complete configuration is accepted.
     """
     site.publish_first()
     site.fault("trim", stream="configuration", offset=1)
@@ -167,7 +170,7 @@
     assert site.json("preset", "current")[1] == {"preset": "peak", "revision": 1}
 
 
-def test_the_address_of_the_log_comes_from_an_entry_s_settings(site: Site, tmp_path: Path) -> None:
+def test_log_address_is_read_from_entry_settings(site: Site, tmp_path: Path) -> None:
     site.publish_first()
     settings = tmp_path / "entry.toml"
     settings.write_text(f"""
@@ -183,11 +186,8 @@
     assert CliRunner().invoke(main, ["preset", "current"]).exit_code == 2
 
 
-def test_the_history_names_who_switched_the_preset(site: Site) -> None:
-    """An operator switches the preset and gives a name; a colleague reads the history.
-
-    The switch stands there with that name, as a publication does.
-    """
+def test_history_shows_operator_of_preset_switch(site: Site) -> None:
+    """Guards against a preset switch that appears in the history without its operator."""
     site.publish_first()
     assert site.run("preset", "use", "peak", "--operator", "litia").exit_code == 0
     assert "operator=litia" in site.run("config", "history").stdout
--- a/packages/ragwortwing-entry/tests/test_request_run.py
+++ b/packages/ragwortwing-entry/tests/test_request_run.py
@@ -1,4 +1,4 @@
-"""One request in flight: back-pressure by credit, nothing twice, nothing cut in an event."""
+"""Tests of a request run: back-pressure by credits, duplicate chunks, partial events, buffering."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import trio
 
 from ragwortwing_entry.caller_request import CallerRequest
-from ragwortwing_entry.request_run import WHOLE_ANSWER_BYTES, Ended, Idle, Pieces, RequestRun
+from ragwortwing_entry.request_run import MAX_BUFFERED_ANSWER_BYTES, Ended, Idle, Pieces, RequestRun
 from ragwortwing_policy.retries import RetryBudget
 from ragwortwing_policy.routing import AgentView, BackendKind, Router
 from ragwortwing_runtime.system_clock import SystemClock
@@ -22,17 +22,17 @@
 
 
 class FakeLink:
-    """Takes what a run sends to its agent."""
+    """Records the messages that a run sends to its agent."""
 
     is_open = True
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
 
-    def remember(self, run: RequestRun) -> None:
+    def add_run(self, run: RequestRun) -> None:
         pass
 
-    def forget(self, request_id: str) -> None:
+    def remove_run(self, request_id: str) -> None:
         pass
 
     async def send(self, message: Any) -> None:
@@ -43,12 +43,12 @@
 
 
 class FakePool:
-    """Knows one agent."""
+    """Agent pool with a single link."""
 
     def __init__(self, link: FakeLink) -> None:
         self.link = link
 
-    def link_of(self, agent_id: str) -> FakeLink:
+    def get_link(self, agent_id: str) -> FakeLink:
         return self.link
 
 
@@ -84,17 +84,16 @@
     return run
 
 
-async def test_credit_comes_only_for_what_the_caller_took() -> None:
-    """A caller reads slowly while its engine writes on.
+async def test_credit_is_sent_only_for_delivered_bytes() -> None:
+    """Guards against unbounded buffering for a caller that reads slower than its engine writes.
 
-    The agent may send a window and then has to stop; so what waits in the entry is bounded, and the
-    agent goes on as soon as the caller has taken what waited.
+    The agent may send one window and must then stop until the caller has taken the buffered data.
     """
     link = FakeLink()
     run = await started_run(link)
     count = WINDOW // len(EVENT)
     for sequence in range(count):
-        run.chunk_came(AGENT, Chunk("r", sequence, EVENT, 1))
+        run.chunk_received(AGENT, Chunk("r", sequence, EVENT, 1))
     assert await run.next_part(0.0) == Pieces(EVENT * count)
     assert link.credits() == []
     with trio.move_on_after(0):
@@ -103,40 +102,40 @@
 
 
 @pytest.mark.parametrize("cut", [1, 20, len(EVENT) - 1])
-async def test_only_whole_events_go_out(cut: int) -> None:
+async def test_only_complete_events_are_relayed(cut: int) -> None:
     run = await started_run(FakeLink())
-    run.chunk_came(AGENT, Chunk("r", 0, EVENT + EVENT[:cut], 1))
+    run.chunk_received(AGENT, Chunk("r", 0, EVENT + EVENT[:cut], 1))
     assert await run.next_part(0.0) == Pieces(EVENT)
-    run.chunk_came(AGENT, Chunk("r", 1, EVENT[cut:], 1))
+    run.chunk_received(AGENT, Chunk("r", 1, EVENT[cut:], 1))
     assert await run.next_part(0.0) == Pieces(EVENT)
 
 
-async def test_a_repeat_and_another_agents_piece_are_passed_over() -> None:
+async def test_repeated_and_foreign_chunks_are_ignored() -> None:
     run = await started_run(FakeLink())
-    run.chunk_came(AGENT, Chunk("r", 0, EVENT, 1))
-    run.chunk_came(AGENT, Chunk("r", 0, EVENT, 1))
-    run.chunk_came("agent-2/1", Chunk("r", 1, EVENT, 1))
+    run.chunk_received(AGENT, Chunk("r", 0, EVENT, 1))
+    run.chunk_received(AGENT, Chunk("r", 0, EVENT, 1))
+    run.chunk_received("agent-2/1", Chunk("r", 1, EVENT, 1))
     assert await run.next_part(0.0) == Pieces(EVENT)
     assert run.tokens == 1
 
 
-async def test_a_large_answer_of_a_service_is_not_kept_whole() -> None:
+async def test_large_service_answer_is_relayed_unbuffered() -> None:
     link = FakeLink()
     run = await started_run(link, streamed=False, kind=BackendKind.SERVICE)
-    piece = b"x" * (WHOLE_ANSWER_BYTES // 2 + 1)
-    run.chunk_came(AGENT, Chunk("r", 0, piece, 0))
+    piece = b"x" * (MAX_BUFFERED_ANSWER_BYTES // 2 + 1)
+    run.chunk_received(AGENT, Chunk("r", 0, piece, 0))
     assert isinstance(await run.next_part(0.0), Idle)
-    run.chunk_came(AGENT, Chunk("r", 1, piece, 0))
+    run.chunk_received(AGENT, Chunk("r", 1, piece, 0))
     assert await run.next_part(0.0) == Pieces(piece * 2)
     run.agent_lost(AGENT)
     assert isinstance(await run.next_part(0.0), Ended)
 
 
-async def test_a_whole_answer_is_kept_until_its_outcome() -> None:
+async def test_unstreamed_answer_is_buffered_until_outcome() -> None:
     run = await started_run(FakeLink(), streamed=False)
-    run.chunk_came(AGENT, Chunk("r", 0, b'{"a":', 0))
+    run.chunk_received(AGENT, Chunk("r", 0, b'{"a":', 0))
     assert isinstance(await run.next_part(0.0), Idle)
-    run.chunk_came(AGENT, Chunk("r", 1, b"1}", 0))
+    run.chunk_received(AGENT, Chunk("r", 1, b"1}", 0))
     run.ended(AGENT, End("r", 2))
     assert await run.next_part(0.0) == Pieces(b'{"a":1}')
     assert isinstance(await run.next_part(0.0), Ended)
