--- a/packages/ragwortwing-entry/src/ragwortwing_entry/accounts.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/accounts.py
@@ -37,16 +37,16 @@
     if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
         return CallerFault(CallerFaultCode.UNAUTHENTICATED, "send Authorization: Bearer KEY")
     digest = digest_of_key(authorization[len(BEARER_PREFIX) :].strip())
-    found: ClientAccount | None = None
-    # Guards against timing attacks: a comparison that stops early reveals how much of a guess is
-    # right. The loop compares every digest of every account, each in constant time.
+    matched_account: ClientAccount | None = None
+    # Guards against timing attacks: the duration of a comparison that stops early reveals how much
+    # of a guess is right. The loop compares every digest of every account, each in constant time.
     for account in configuration.accounts_by_name.values():
-        for known in account.key_digests:
-            if hmac.compare_digest(known, digest):
-                found = account
-    if found is None:
+        for key_digest in account.key_digests:
+            if hmac.compare_digest(key_digest, digest):
+                matched_account = account
+    if matched_account is None:
         return CallerFault(CallerFaultCode.UNAUTHENTICATED, "the API key is not known")
-    return found
+    return matched_account
 
 
 def resolve_request_class(account: ClientAccount, requested: bytes) -> str | CallerFault:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/_operator.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/_operator.py
@@ -121,7 +121,7 @@
 
     Args:
         log_address: Address of the platform's log.
-        output: Prints errors.
+        output: Output that reports errors.
         work: The command, called with a publisher that is up to date.
         operator: Name of the operator for published records.
     """
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/config.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/config.py
@@ -119,13 +119,13 @@
 
     async def work(publisher: ConfigurationPublisher) -> None:
         require_configuration(publisher, output)
-        shown = publisher.state.revision if revision is None else revision
-        document = find_document(publisher, shown, output)
+        shown_revision = publisher.state.revision if revision is None else revision
+        document = find_document(publisher, shown_revision, output)
         preset = publisher.state.preset
-        heading = f"# revision {shown}\n"
-        if shown == publisher.state.revision:
-            heading = f"# revision {shown} in force, preset {preset}\n"
-        value = {"revision": shown, "document": document}
+        heading = f"# revision {shown_revision}\n"
+        if shown_revision == publisher.state.revision:
+            heading = f"# revision {shown_revision} in force, preset {preset}\n"
+        value = {"revision": shown_revision, "document": document}
         output.show(heading + tomli_w.dumps(document), value)
 
     run_with_publisher(log_address, output, work)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/delivery.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/delivery.py
@@ -18,7 +18,7 @@
     outcome_headers,
     with_content_length,
 )
-from .request_run import Ended, Idle, Part, Pieces
+from .request_run import AnswerData, Ended, Idle, Part
 
 if TYPE_CHECKING:
     from ragwortwing_policy.clock import Clock
@@ -90,7 +90,7 @@
         if not started:
             await call.start(200, _stream_headers(request_id))
             started = True
-        if isinstance(part, Pieces):
+        if isinstance(part, AnswerData):
             idle_at = math.inf
             await call.send(part.data)
         else:
@@ -111,9 +111,9 @@
     body = b""
     while True:
         part = await run.next_part(math.inf)
-        if isinstance(part, Pieces) and run.outcome is None:
+        if isinstance(part, AnswerData) and run.outcome is None:
             return await _deliver_large(call, run, part)
-        if isinstance(part, Pieces):
+        if isinstance(part, AnswerData):
             body = part.data
         elif not isinstance(part, Idle):
             break
@@ -125,7 +125,7 @@
     return part.outcome
 
 
-async def _deliver_large(call: HttpCall, run: RequestRun, first: Pieces) -> Outcome:
+async def _deliver_large(call: HttpCall, run: RequestRun, first: AnswerData) -> Outcome:
     """Relay a large answer as it arrives, and leave its body incomplete if the run fails.
 
     The response head is sent before the outcome is known, so a truncated body is the only way to
@@ -136,7 +136,7 @@
     await call.start(run.head.status, headers)
     part: Part = first
     while not isinstance(part, Ended):
-        if isinstance(part, Pieces):
+        if isinstance(part, AnswerData):
             await call.send(part.data)
         part = await run.next_part(math.inf)
     if isinstance(part.outcome, Completed):
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/http_call.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/http_call.py
@@ -62,21 +62,21 @@
             limit: Maximum size of the body in bytes.
         """
         fault = CallerFault(CallerFaultCode.BODY_TOO_LARGE, f"a body may have {limit:,} bytes")
-        announced = self.header(CONTENT_LENGTH)
-        if announced.isdigit() and int(announced) > limit:
+        declared_length = self.header(CONTENT_LENGTH)
+        if declared_length.isdigit() and int(declared_length) > limit:
             return fault
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
                 return CallerLeft.CALLER_LEFT
-            pieces.append(message.get("body", b""))
-            size += len(pieces[-1])
+            chunks.append(message.get("body", b""))
+            size += len(chunks[-1])
             if size > limit:
                 return fault
             if not message.get("more_body", False):
-                return b"".join(pieces)
+                return b"".join(chunks)
 
     async def wait_disconnected(self) -> None:
         """Wait until the caller closes the connection."""
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/request_run.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/request_run.py
@@ -48,12 +48,12 @@
 The agent keeps unacknowledged bytes for a reattachment.
 """
 
-STREAMING = "streaming"
+STREAMING_STATE = "streaming"
 """State of the dispatch chart in which chunks are relayed to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
-class Pieces:
+class AnswerData:
     """Bytes of the answer that are ready to send."""
 
     data: bytes
@@ -71,7 +71,7 @@
     outcome: Outcome
 
 
-Part = Pieces | Idle | Ended
+Part = AnswerData | Idle | Ended
 
 IDLE = Idle()
 
@@ -107,13 +107,13 @@
         self.last_agent_id = ""
         """Last agent that received the request body, also after the end; empty if none did."""
         self._links_by_agent_id: dict[str, AgentLink] = {}
-        self._ready: list[bytes] = []
+        self._ready_chunks: list[bytes] = []
         self._is_relaying = request.streamed
         self._buffered_bytes = 0
         self._partial_event = b""
-        self._delivered = DeliveredText()
+        self._delivered_text = DeliveredText()
         self._next_sequence = 0
-        self._uncredited = 0
+        self._uncredited_bytes = 0
         self._outcome: Outcome | None = None
         self._submitted = False
 
@@ -166,7 +166,7 @@
             self.agent_lost(agent_id)
             return
         self._next_sequence += 1
-        self._uncredited += len(chunk.data)
+        self._uncredited_bytes += len(chunk.data)
         if self.first_piece_at is None:
             self.first_piece_at = self._now
         if self.request.streamed:
@@ -211,11 +211,11 @@
         while True:
             await self._execute()
             await self._send_credit()
-            if self._ready and (self._is_relaying or self._outcome is not None):
+            if self._ready_chunks and (self._is_relaying or self._outcome is not None):
                 return self._pop_ready()
             if self._outcome is not None:
                 return Ended(self._outcome)
-            if self._dispatch.state == STREAMING:
+            if self._dispatch.state == STREAMING_STATE:
                 await self._wait()
                 continue
             now = self._now
@@ -255,7 +255,7 @@
 
     def _buffer_chunk(self, agent_id: str, data: bytes) -> None:
         """Buffer a chunk of an unstreamed answer until the outcome is known or it is too large."""
-        self._ready.append(data)
+        self._ready_chunks.append(data)
         self._buffered_bytes += len(data)
         if not self._is_relaying and self._buffered_bytes > MAX_BUFFERED_ANSWER_BYTES:
             # Buffering a large download to its end would exhaust the entry's memory, so the answer
@@ -276,25 +276,29 @@
         if data.endswith(DONE_EVENT):
             data = data[: -len(DONE_EVENT)]
         if data:
-            self._ready.append(data)
+            self._ready_chunks.append(data)
             if self.request.idempotent:
-                self._delivered.add(data)
+                self._delivered_text.add(data)
         self._enqueue_decisions(self._dispatch.on_progress(agent_id, chunk.tokens, self._now))
 
-    def _pop_ready(self) -> Pieces:
-        data = self._ready[0] if len(self._ready) == 1 else b"".join(self._ready)
-        self._ready.clear()
-        return Pieces(data)
+    def _pop_ready(self) -> AnswerData:
+        data = (
+            self._ready_chunks[0] if len(self._ready_chunks) == 1 else b"".join(self._ready_chunks)
+        )
+        self._ready_chunks.clear()
+        return AnswerData(data)
 
     async def _send_credit(self) -> None:
         # Back-pressure: bytes that the caller has not taken yet are not credited. The agent stops
         # at the window, which bounds the buffer here, and a slow caller delays only its own stream.
-        if self._uncredited < self._credit_bytes or (self._ready and self._is_relaying):
+        if self._uncredited_bytes < self._credit_bytes or (
+            self._ready_chunks and self._is_relaying
+        ):
             return
         link = self._links_by_agent_id.get(self.agent_id or "")
         if link is None:
             return
-        self._uncredited = 0
+        self._uncredited_bytes = 0
         credit = Credit(self.request.request_id, self._next_sequence, self._window)
         await self._send(link, credit)
 
@@ -365,7 +369,7 @@
             headers=request.headers,
             body=request.body,
             traceparent=request.traceparent,
-            resume_text=self._delivered.text() if decision.resumed else "",
+            resume_text=self._delivered_text.text() if decision.resumed else "",
             window=self._window,
         )
         self._submitted = True
@@ -374,11 +378,11 @@
 
     def _reset_answer(self, resumed: bool) -> None:
         self._next_sequence = 0
-        self._uncredited = 0
+        self._uncredited_bytes = 0
         self._partial_event = b""
         if not resumed:
             self.head = None
-            self._ready.clear()
+            self._ready_chunks.clear()
             self._buffered_bytes = 0
 
     async def _withdraw_from(self, agent_id: str) -> None:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/routes.py
@@ -20,7 +20,7 @@
     OPERATOR = "operator"
 
 
-EVERYONE = (Audience.CALLER, Audience.OPERATOR)
+ALL_AUDIENCES = (Audience.CALLER, Audience.OPERATOR)
 
 PATH_WILDCARD = "/*"
 """Wildcard suffix of a path, which matches any last segment."""
@@ -29,7 +29,7 @@
 
 
 def route(
-    method: str, path: str, audiences: tuple[Audience, ...] = EVERYONE
+    method: str, path: str, audiences: tuple[Audience, ...] = ALL_AUDIENCES
 ) -> Callable[[Handler], Handler]:
     """Register the handler of a method and a path.
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/service_routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/service_routes.py
@@ -44,12 +44,12 @@
 
 def find_service(configuration: Configuration, path: str) -> Service | None:
     """Return the service with the longest prefix that matches the path, or None."""
-    found = [
+    matching = [
         service
         for service in configuration.services_by_name.values()
         if path == service.prefix or path.startswith(service.prefix.rstrip("/") + "/")
     ]
-    return max(found, key=lambda service: len(service.prefix), default=None)
+    return max(matching, key=lambda service: len(service.prefix), default=None)
 
 
 def find_route(service: Service, method: str, path: str) -> ServiceRoute | CallerFault:
@@ -83,11 +83,11 @@
     if isinstance(account, CallerFault):
         return account
     path = call.path.removeprefix(service.prefix.rstrip("/")) or "/"
-    found = find_route(service, call.method, path)
-    if isinstance(found, CallerFault):
-        return found
-    if found.request_class not in account.classes:
-        message = f"the account may not use the class {found.request_class!r}"
+    service_route = find_route(service, call.method, path)
+    if isinstance(service_route, CallerFault):
+        return service_route
+    if service_route.request_class not in account.classes:
+        message = f"the account may not use the class {service_route.request_class!r}"
         return CallerFault(CallerFaultCode.CLASS_NOT_ALLOWED, message)
     order_time = _read_order_time(call)
     if isinstance(order_time, CallerFault):
@@ -98,20 +98,20 @@
     body = await call.read_body(app.settings.requests.body_bytes)
     if not isinstance(body, bytes):
         return body
-    context = app.new_context(configuration, account.name, found.request_class)
-    return _build_request(context, call, service, found, body, key, order_time)
+    context = app.new_context(configuration, account.name, service_route.request_class)
+    return _build_request(context, call, service, service_route, body, key, order_time)
 
 
 def _build_request(
     context: RequestContext,
     call: HttpCall,
     service: Service,
-    found: ServiceRoute,
+    service_route: ServiceRoute,
     body: bytes,
     key: str,
     order_time: float,
 ) -> CallerRequest:
-    is_order = not found.idempotent
+    is_order = not service_route.idempotent
     path = _relative_raw_path(service, call)
     return CallerRequest(
         request_id=context.request_id,
@@ -126,7 +126,7 @@
         body=body,
         arrived_at=context.arrived_at,
         deadline=context.deadline,
-        idempotent=found.idempotent,
+        idempotent=service_route.idempotent,
         order_key=key if is_order else "",
         body_digest=_request_digest(call.method, path, body) if is_order else b"",
         order_time=order_time if is_order else 0.0,
--- a/packages/ragwortwing-entry/tests/test_entry_app.py
+++ b/packages/ragwortwing-entry/tests/test_entry_app.py
@@ -88,8 +88,8 @@
             await agent.answer(submit.request_id, b"{}", outcome=Completed(7))
 
         nursery.start_soon(serve)
-        answered = await bench.call("POST", CHAT_PATH, CHAT | {"stream": False})
-    request_id = answered.headers["x-request-id"]
+        response = await bench.call("POST", CHAT_PATH, CHAT | {"stream": False})
+    request_id = response.headers["x-request-id"]
     record = (await bench.call("GET", f"/requests/{request_id}", listener="operator")).json()
     assert (record["agent"].partition("/")[0], record["tokens"]) == ("agent-1", 7)
 
@@ -131,11 +131,11 @@
     status: int,
     code: str | None,
 ) -> None:
-    answered = await bench.call(method, path, body, headers)
-    assert answered.status == status
-    error = answered.json()["error"]
-    assert answered.headers["x-ragwortwing-outcome"] == error["type"] == "not_run"
-    assert answered.headers["x-ragwortwing-reason"] == error["code"]
+    response = await bench.call(method, path, body, headers)
+    assert response.status == status
+    error = response.json()["error"]
+    assert response.headers["x-ragwortwing-outcome"] == error["type"] == "not_run"
+    assert response.headers["x-ragwortwing-reason"] == error["code"]
     assert code is None or error["code"] == code
 
 
@@ -162,37 +162,38 @@
             await agent.send(Refused(reserve.request_id, outcome))
 
         nursery.start_soon(refuse)
-        answered = await bench.call("POST", "/desk/orders", {}, KEY | {"idempotency-key": "cake-7"})
-    assert answered.status == status
-    assert answered.headers["x-ragwortwing-outcome"] == kind
-    assert answered.headers["x-ragwortwing-reason"] == outcome.reason
+        response = await bench.call("POST", "/desk/orders", {}, KEY | {"idempotency-key": "cake-7"})
+    assert response.status == status
+    assert response.headers["x-ragwortwing-outcome"] == kind
+    assert response.headers["x-ragwortwing-reason"] == outcome.reason
 
 
 async def test_request_without_agent_is_refused_with_retry_delay(bench: Bench) -> None:
-    answered = await bench.call("POST", CHAT_PATH, CHAT)
-    assert answered.status == 503
-    assert answered.headers["x-ragwortwing-reason"] == "no_backend"
-    assert answered.headers["retry-after"] == "2"
-    assert answered.json()["error"]["retry_after_ms"] == 2_000
+    response = await bench.call("POST", CHAT_PATH, CHAT)
+    assert response.status == 503
+    assert response.headers["x-ragwortwing-reason"] == "no_backend"
+    assert response.headers["retry-after"] == "2"
+    assert response.json()["error"]["retry_after_ms"] == 2_000
 
 
 async def test_class_not_admitted_by_preset_is_refused(bench: Bench) -> None:
     assert bench.feed.current is not None
     bench.feed.current = replace(bench.feed.current, preset="maintenance")
-    answered = await bench.call("POST", CHAT_PATH, CHAT)
-    assert answered.headers["x-ragwortwing-reason"] == "shed_by_preset"
+    response = await bench.call("POST", CHAT_PATH, CHAT)
+    assert response.headers["x-ragwortwing-reason"] == "shed_by_preset"
 
 
 async def test_account_over_concurrency_limit_is_refused(bench: Bench) -> None:
+    """Guards against requests of an account that run beyond its concurrency limit."""
     assert bench.feed.current is not None
     account = replace(bench.feed.current.accounts_by_name["suva"], concurrency=1)
     bench.feed.current = replace(bench.feed.current, accounts_by_name={"suva": account})
     agent = await bench.add_agent("agent-1")
     async with bench.stream():
         await agent.next(Reserve)
-        answered = await bench.call("POST", CHAT_PATH, CHAT)
-    assert answered.status == 429
-    assert answered.headers["x-ragwortwing-reason"] == "concurrency_limited"
+        response = await bench.call("POST", CHAT_PATH, CHAT)
+    assert response.status == 429
+    assert response.headers["x-ragwortwing-reason"] == "concurrency_limited"
 
 
 async def test_response_of_plain_service_keeps_its_status(bench: Bench) -> None:
@@ -205,9 +206,9 @@
             await agent.answer(submit.request_id, b"{}", status=404)
 
         nursery.start_soon(serve)
-        answered = await bench.call("GET", "/desk/orders/7?full=1")
-    assert (answered.status, answered.body) == (404, b"{}")
-    assert answered.headers["x-ragwortwing-outcome"] == "completed"
+        response = await bench.call("GET", "/desk/orders/7?full=1")
+    assert (response.status, response.body) == (404, b"{}")
+    assert response.headers["x-ragwortwing-outcome"] == "completed"
 
 
 async def test_disconnect_of_caller_withdraws_request(bench: Bench) -> None:
@@ -303,10 +304,10 @@
             await other.next(Reserve)
 
         nursery.start_soon(serve)
-        answered = await bench.call("POST", "/desk/orders", {}, KEY)
+        response = await bench.call("POST", "/desk/orders", {}, KEY)
         nursery.cancel_scope.cancel()
-    assert answered.status == 504
-    assert answered.headers["x-ragwortwing-reason"] == "backend_lost"
+    assert response.status == 504
+    assert response.headers["x-ragwortwing-reason"] == "backend_lost"
 
 
 async def test_planned_stop_finishes_requests_in_flight() -> None:
@@ -333,6 +334,7 @@
 
 
 async def test_second_stop_cuts_requests_in_flight() -> None:
+    """Guards against a forced stop that waits for requests or hides that it cut them."""
     async with running_entry() as bench:
         agent = await bench.add_agent("agent-1")
         async with bench.stream():
@@ -377,12 +379,13 @@
 
 
 async def test_leaving_agent_gets_no_new_requests(bench: Bench) -> None:
+    """Guards against new requests to an agent that is about to stop."""
     agent = await bench.add_agent("agent-1")
     bench.members.set(agent.member(MemberState.LEAVING))
     await agent.send(Heartbeat(1, revision=3))
     await bench.wait_until(lambda: bench.app.pool.agents_by_id[agent.hello.agent_id].leaving)
-    answered = await bench.call("POST", CHAT_PATH, CHAT)
-    assert answered.headers["x-ragwortwing-reason"] == "no_backend"
+    response = await bench.call("POST", CHAT_PATH, CHAT)
+    assert response.headers["x-ragwortwing-reason"] == "no_backend"
 
 
 async def test_operator_can_read_status_request_and_metrics(bench: Bench) -> None:
--- a/packages/ragwortwing-entry/tests/test_http_server.py
+++ b/packages/ragwortwing-entry/tests/test_http_server.py
@@ -91,7 +91,7 @@
 async def test_stalled_caller_does_not_delay_other_callers(bench: Bench) -> None:
     """Guards against a blocked write to one caller that delays the answers of other callers."""
     agent = await bench.add_agent("agent-1")
-    stuck = await open_stalled_call(bench)
+    stalled = await open_stalled_call(bench)
     await fill_socket_buffers(agent)
 
     async def serve() -> None:
@@ -103,7 +103,7 @@
         with trio.fail_after(5):
             async with bench.stream() as parts:
                 assert EVENT in b"".join([part async for part in parts])
-    await stuck.aclose()
+    await stalled.aclose()
 
 
 async def test_forced_stop_ends_write_to_stalled_caller() -> None:
@@ -113,12 +113,12 @@
     """
     async with running_entry() as bench:
         agent = await bench.add_agent("agent-1")
-        stuck = await open_stalled_call(bench)
+        stalled = await open_stalled_call(bench)
         request_id = await fill_socket_buffers(agent)
         bench.app.stop()
         await bench.wait_until(lambda: bench.app.requests.draining)
         assert bench.app.unfinished() == (request_id,)
         bench.app.stop()
         await bench.wait_until(lambda: bench.exit_code is not None)
-        await stuck.aclose()
+        await stalled.aclose()
     assert bench.exit_code == CUT_EXIT_CODE
--- a/packages/ragwortwing-entry/tests/test_request_run.py
+++ b/packages/ragwortwing-entry/tests/test_request_run.py
@@ -10,7 +10,13 @@
 import trio
 
 from ragwortwing_entry.caller_request import CallerRequest
-from ragwortwing_entry.request_run import MAX_BUFFERED_ANSWER_BYTES, Ended, Idle, Pieces, RequestRun
+from ragwortwing_entry.request_run import (
+    MAX_BUFFERED_ANSWER_BYTES,
+    AnswerData,
+    Ended,
+    Idle,
+    RequestRun,
+)
 from ragwortwing_policy.retries import RetryBudget
 from ragwortwing_policy.routing import AgentView, BackendKind, Router
 from ragwortwing_runtime.system_clock import SystemClock
@@ -94,7 +100,7 @@
     count = WINDOW // len(EVENT)
     for sequence in range(count):
         run.chunk_received(AGENT, Chunk("r", sequence, EVENT, 1))
-    assert await run.next_part(0.0) == Pieces(EVENT * count)
+    assert await run.next_part(0.0) == AnswerData(EVENT * count)
     assert link.credits() == []
     with trio.move_on_after(0):
         await run.next_part(0.0)
@@ -103,39 +109,43 @@
 
 @pytest.mark.parametrize("cut", [1, 20, len(EVENT) - 1])
 async def test_only_complete_events_are_relayed(cut: int) -> None:
+    """Guards against a partial event reaching the caller, wherever a chunk splits it."""
     run = await started_run(FakeLink())
     run.chunk_received(AGENT, Chunk("r", 0, EVENT + EVENT[:cut], 1))
-    assert await run.next_part(0.0) == Pieces(EVENT)
+    assert await run.next_part(0.0) == AnswerData(EVENT)
     run.chunk_received(AGENT, Chunk("r", 1, EVENT[cut:], 1))
-    assert await run.next_part(0.0) == Pieces(EVENT)
+    assert await run.next_part(0.0) == AnswerData(EVENT)
 
 
 async def test_repeated_and_foreign_chunks_are_ignored() -> None:
+    """Guards against duplicate text from a reattached or an abandoned agent."""
     run = await started_run(FakeLink())
     run.chunk_received(AGENT, Chunk("r", 0, EVENT, 1))
     run.chunk_received(AGENT, Chunk("r", 0, EVENT, 1))
     run.chunk_received("agent-2/1", Chunk("r", 1, EVENT, 1))
-    assert await run.next_part(0.0) == Pieces(EVENT)
+    assert await run.next_part(0.0) == AnswerData(EVENT)
     assert run.tokens == 1
 
 
 async def test_large_service_answer_is_relayed_unbuffered() -> None:
+    """Guards against a large download that fills memory or is retried after partial delivery."""
     link = FakeLink()
     run = await started_run(link, streamed=False, kind=BackendKind.SERVICE)
     piece = b"x" * (MAX_BUFFERED_ANSWER_BYTES // 2 + 1)
     run.chunk_received(AGENT, Chunk("r", 0, piece, 0))
     assert isinstance(await run.next_part(0.0), Idle)
     run.chunk_received(AGENT, Chunk("r", 1, piece, 0))
-    assert await run.next_part(0.0) == Pieces(piece * 2)
+    assert await run.next_part(0.0) == AnswerData(piece * 2)
     run.agent_lost(AGENT)
     assert isinstance(await run.next_part(0.0), Ended)
 
 
 async def test_unstreamed_answer_is_buffered_until_outcome() -> None:
+    """Guards against relaying part of an answer whose run may still fail."""
     run = await started_run(FakeLink(), streamed=False)
     run.chunk_received(AGENT, Chunk("r", 0, b'{"a":', 0))
     assert isinstance(await run.next_part(0.0), Idle)
     run.chunk_received(AGENT, Chunk("r", 1, b"1}", 0))
     run.ended(AGENT, End("r", 2))
-    assert await run.next_part(0.0) == Pieces(b'{"a":1}')
+    assert await run.next_part(0.0) == AnswerData(b'{"a":1}')
     assert isinstance(await run.next_part(0.0), Ended)
