--- a/packages/ragwortwing-wire/src/ragwortwing_wire/__init__.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and connections between entry and agent."""
+"""Message types, codec and connections between an entry and an agent."""
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/_answer_codec.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/_answer_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the messages from agent to entry about one request."""
+"""Encoders and decoders of the messages that an agent sends to an entry about a request."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/_registry.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of encoders and decoders, filled by decorators."""
+"""Registry of encoders and decoders, filled by the decorators `encodes` and `decodes`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .messages import Message
 
 SCHEMA: Any = capnp.load(str(Path(__file__).with_name("wire.capnp")))
-"""The schema, read at import so that the build needs no generator."""
+"""The Cap'n Proto schema, loaded at import so that the build needs no code generator."""
 
 Encoder = Callable[[Any, Any], None]
 """Fills an envelope from a message."""
 
 Decoder = Callable[[Any], Message]
-"""Makes a message from the envelope's member."""
+"""Creates a message from the union member of an envelope."""
 
 encoders_by_type: dict[type, Encoder] = {}
 decoders_by_tag: dict[str, Decoder] = {}
@@ -27,7 +27,7 @@
 
 
 def encodes(message_type: type) -> Callable[[_EncoderT], _EncoderT]:
-    """Register the encoder of a message type."""
+    """Register the decorated function as the encoder of a message type."""
 
     def register(function: _EncoderT) -> _EncoderT:
         encoders_by_type[message_type] = function
@@ -37,7 +37,7 @@
 
 
 def decodes(tag: str) -> Callable[[_DecoderT], _DecoderT]:
-    """Register the decoder of a member of the envelope."""
+    """Register the decorated function as the decoder of a union member of the envelope."""
 
     def register(function: _DecoderT) -> _DecoderT:
         decoders_by_tag[tag] = function
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/_request_codec.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/_request_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the messages from entry to agent about one request."""
+"""Encoders and decoders of the messages that an entry sends to an agent about a request."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/_session_codec.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/_session_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the messages about the connection itself and the configuration."""
+"""Encoders and decoders of hellos, heartbeats and configuration records."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/_values.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/_values.py
@@ -1,4 +1,4 @@
-"""Encoding of the values that several messages share."""
+"""Encoders and decoders of values that occur in several message types."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from .messages import Header
 
 ABSENT = -1
-"""Stands for None in a number that may be absent."""
+"""Encodes None in optional numeric fields."""
 
 MICROSECOND = timedelta(microseconds=1)
 
 
 def to_microseconds(duration: timedelta | None) -> int:
-    """Return a duration in microseconds.
+    """Return a duration in whole microseconds, or `ABSENT` for None.
 
     Example:
         >>> to_microseconds(timedelta(milliseconds=2))
@@ -37,7 +37,7 @@
 
 
 def write_headers(headers: tuple[Header, ...], builders: Any) -> None:
-    """Fill a list of header builders."""
+    """Write headers into a list of builders of the same length."""
     for index, header in enumerate(headers):
         builder = builders[index]
         builder.name = header.name
@@ -45,12 +45,12 @@
 
 
 def read_headers(readers: Any) -> tuple[Header, ...]:
-    """Return the headers of a list of readers."""
+    """Read headers from a list of readers."""
     return tuple(Header(each.name, each.value) for each in readers)
 
 
 def write_load(load: LoadReport, builder: Any) -> None:
-    """Fill a load report."""
+    """Write a load report into its builder."""
     builder.running = load.running
     builder.queued = load.queued
     builder.limit = load.limit
@@ -59,7 +59,7 @@
 
 
 def read_load(reader: Any) -> LoadReport:
-    """Return a load report."""
+    """Read a load report."""
     return LoadReport(
         running=reader.running,
         queued=reader.queued,
@@ -70,7 +70,7 @@
 
 
 def write_outcome(outcome: Outcome, builder: Any) -> None:
-    """Fill an outcome."""
+    """Write an outcome into its builder."""
     builder.kind = outcome.kind.value
     match outcome:
         case Completed(tokens):
@@ -86,10 +86,10 @@
 
 
 def read_outcome(reader: Any) -> Outcome:
-    """Return an outcome.
+    """Read an outcome.
 
     Raises:
-        ValueError: The kind or the reason is not one of ours.
+        ValueError: The kind or the reason is unknown.
     """
     kind = OutcomeKind(reader.kind)
     if kind is OutcomeKind.COMPLETED:
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/codec.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages to frames and back, with Cap'n Proto as the codec."""
+"""Encodes messages as Cap'n Proto frames and decodes frames into messages."""
 
 from __future__ import annotations
 
@@ -14,16 +14,20 @@
 if TYPE_CHECKING:
     from .messages import Message
 
-MAXIMUM_FRAME = 16 * 1024 * 1024
-"""Bytes a frame may have; it bounds what a peer can make this process hold."""
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+"""Largest frame in bytes; bounds the memory that a peer can make this process allocate."""
 
 TRAVERSAL_FACTOR = 4
-TRAVERSAL_ALLOWANCE = 64
-WORD = 8
+"""Words that the decoder may read for each word of the frame."""
+
+TRAVERSAL_EXTRA_WORDS = 64
+"""Words that the decoder may read in addition."""
+
+WORD_BYTES = 8
 
 
 class MalformedReason(StrEnum):
-    """Why bytes are no message."""
+    """Reason why a frame cannot be decoded."""
 
     TOO_LARGE = "too_large"
     NOT_CAPNP = "not_capnp"
@@ -33,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedFrame:
-    """Bytes that are no message of ours."""
+    """Result of decoding a frame that is not a valid message."""
 
     reason: MalformedReason
 
 
 class FrameTooLargeError(Exception):
-    """A message is larger than a frame may be, so that no peer would take it."""
+    """An encoded message exceeds `MAX_FRAME_BYTES`, so the peer would reject it."""
 
     def __init__(self, size: int) -> None:
         super().__init__(size)
@@ -47,7 +51,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as a frame, without its length.
+    """Encode a message as a frame, without the length prefix.
 
     Example:
         >>> from ragwortwing_wire.messages import Withdraw
@@ -55,24 +59,24 @@
         Withdraw(request_id='r1')
 
     Raises:
-        FrameTooLargeError: The message does not fit a frame.
+        FrameTooLargeError: The encoded message exceeds `MAX_FRAME_BYTES`.
     """
     envelope = SCHEMA.Envelope.new_message()
     encoders_by_type[type(message)](message, envelope)
     frame: bytes = envelope.to_bytes()
-    if len(frame) > MAXIMUM_FRAME:
+    if len(frame) > MAX_FRAME_BYTES:
         raise FrameTooLargeError(len(frame))
     return frame
 
 
 def decode(frame: bytes) -> Message | MalformedFrame:
-    """Return the message of a frame.
+    """Decode a frame; return a `MalformedFrame` if it is not a valid message.
 
     Example:
         >>> decode(b"x" * 8)
         MalformedFrame(reason=<MalformedReason.NOT_CAPNP: 'not_capnp'>)
     """
-    if len(frame) > MAXIMUM_FRAME:
+    if len(frame) > MAX_FRAME_BYTES:
         return MalformedFrame(MalformedReason.TOO_LARGE)
     try:
         return _read(frame)
@@ -83,9 +87,9 @@
 
 
 def _read(frame: bytes) -> Message | MalformedFrame:
-    # A few bytes can claim a list of millions of empty elements. The limit on words read, a small
-    # multiple of the frame's own, makes such a frame an error before the elements are made.
-    limit = len(frame) // WORD * TRAVERSAL_FACTOR + TRAVERSAL_ALLOWANCE
+    # A frame of a few bytes can declare a list of millions of empty elements. The traversal limit
+    # is a small multiple of the frame's size, so such a frame fails before the list is built.
+    limit = len(frame) // WORD_BYTES * TRAVERSAL_FACTOR + TRAVERSAL_EXTRA_WORDS
     with SCHEMA.Envelope.from_bytes(frame, traversal_limit_in_words=limit) as envelope:
         tag = envelope.which()
         decoder = decoders_by_tag.get(str(tag))
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/connection.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/connection.py
@@ -1,4 +1,4 @@
-"""One long-lived connection between entry and agent, shared by all requests between the two."""
+"""Long-lived connection between an entry and an agent, which multiplexes their requests."""
 
 from __future__ import annotations
 
@@ -23,32 +23,33 @@
     from .messages import Message
 
 READ_SIZE = 65_536
+"""Most bytes to read from the stream at once."""
 
-PAUSE_FACTOR = 2
-"""A heartbeat later than this many intervals shows that this process itself stood still."""
+PAUSE_INTERVALS = 2
+"""Heartbeat intervals after which a late wake-up means that this process was paused."""
 
 Hello = EntryHello | AgentHello
 
 
 class CloseReason(StrEnum):
-    """Why a connection is no longer usable."""
+    """Reason why a connection closed."""
 
     SILENT = "silent"
-    """Nothing came, or nothing could be written, for the silence timeout."""
+    """No bytes arrived, or a write made no progress, within the silence timeout."""
     RESET = "reset"
-    """The transport broke."""
+    """The transport reported an error."""
     ENDED = "ended"
-    """The peer closed in good order."""
+    """The peer closed the stream."""
     VERSION = "version"
-    """The peer speaks another version of the protocol."""
+    """The peer uses another protocol version."""
     MALFORMED = "malformed"
-    """The peer sent bytes that are no message."""
+    """The peer sent a frame that is not a valid message, or a first message that is no hello."""
     LOCAL = "local"
-    """This side closed it."""
+    """This side closed the connection."""
 
 
 class ConnectionClosed(Exception):  # noqa: N818
-    """The connection cannot be used any more."""
+    """The connection is closed and cannot be used any more."""
 
     def __init__(self, reason: CloseReason) -> None:
         super().__init__(reason)
@@ -57,27 +58,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """Intervals and bounds of a connection."""
+    """Heartbeat interval, silence timeout and send queue limit of a connection."""
 
     heartbeat_interval: timedelta = timedelta(milliseconds=500)
     silence_timeout: timedelta = timedelta(seconds=2)
     outgoing_limit: int = 1024 * 1024
-    """Bytes that may wait to be written; `send` waits above it."""
+    """Unwritten bytes from which on `send` waits."""
 
 
 DEFAULT_SETTINGS = ConnectionSettings()
 
 
-def plain_heartbeat(sequence: int) -> Heartbeat:
-    """Return a heartbeat that tells nothing but life."""
+def default_heartbeat(sequence: int) -> Heartbeat:
+    """Return a heartbeat without load and with no configuration revision."""
     return Heartbeat(sequence, revision=-1)
 
 
 class Connection:
-    """Messages over a trio stream; made by `open_connection`.
+    """Sends and receives messages over a trio stream; created by `open_connection`.
 
-    `async for message in connection` gives the peer's messages, heartbeats included, and ends when
-    the connection closes for any reason; `closed` then tells why. Only one task may iterate.
+    `async for message in connection` yields the peer's messages, including heartbeats. It ends when
+    the connection closes; `closed` then holds the reason. Only one task may iterate.
     """
 
     def __init__(
@@ -88,9 +89,9 @@
         heartbeat: Callable[[int], Heartbeat],
     ) -> None:
         self.peer: Hello | None = None
-        """The peer's first message; set before the connection is handed out."""
+        """The peer's hello; set before `open_connection` yields the connection."""
         self.closed: CloseReason | None = None
-        """Why the connection closed; None while it is open."""
+        """Reason why the connection closed; None while it is open."""
         self._stream = stream
         self._clock = clock
         self._settings = settings
@@ -101,37 +102,38 @@
         self._outgoing_bytes = 0
         self._writing_since: float | None = None
         self._reading_since: float | None = None
-        self._work = trio.Event()
+        self._frames_queued = trio.Event()
         self._progress = trio.Event()
 
     async def send(self, message: Message) -> None:
-        """Queue a message, waiting while too many bytes are queued.
+        """Queue a message; wait first while the send queue is full.
 
-        It does not yield where there is room, so that what one task sends goes out in one write.
+        While the queue has room, this does not yield to the scheduler, so the messages that one
+        task sends in a row go out in a single write.
 
         Raises:
-            ConnectionClosed: The connection is closed; whether earlier messages arrived is unknown.
-            FrameTooLargeError: The message does not fit a frame.
+            ConnectionClosed: The connection is closed; earlier messages may not have arrived.
+            FrameTooLargeError: The encoded message exceeds `MAX_FRAME_BYTES`.
         """
         frame = with_length(encode(message))
-        # A peer that stops reading would let the queue grow without bound; here its senders wait.
+        # Backpressure: without it, the queue grows without bound when the peer stops reading.
         while self.closed is None and self._outgoing_bytes >= self._settings.outgoing_limit:
             await self._progress.wait()
         self._check_open()
         self._enqueue(frame)
 
     async def flush(self) -> None:
-        """Wait until everything queued was given to the transport.
+        """Wait until all queued messages have been passed to the transport.
 
         Raises:
-            ConnectionClosed: The connection closed first.
+            ConnectionClosed: The connection closed before that.
         """
         while self.closed is None and (self._outgoing or self._writing_since is not None):
             await self._progress.wait()
         self._check_open()
 
     def beat(self) -> None:
-        """Send a heartbeat at once, to tell the peer of a changed load or of leaving."""
+        """Queue a heartbeat ahead of other messages, to report a new load or a planned stop."""
         if self.closed is not None:
             return
         frame = with_length(encode(self._heartbeat(self._heartbeats_sent)))
@@ -139,13 +141,13 @@
         self._enqueue(frame, first=True)
 
     async def close(self, reason: CloseReason = CloseReason.LOCAL) -> None:
-        """Close the connection without waiting for what is queued."""
+        """Close the connection and discard queued messages."""
         if self.closed is None:
             self.closed = reason
         self._outgoing.clear()
         self._outgoing_bytes = 0
-        self._work.set()
-        self._announce_progress()
+        self._frames_queued.set()
+        self._notify_progress()
         await trio.aclose_forcefully(self._stream)
 
     def __aiter__(self) -> Connection:
@@ -157,8 +159,8 @@
             raise StopAsyncIteration
         return message
 
-    async def shake_hands(self, hello: Hello) -> None:
-        """Exchange hellos, each side sending its own without waiting for the other's."""
+    async def exchange_hellos(self, hello: Hello) -> None:
+        """Send this side's hello and wait for the peer's; neither side waits before sending."""
         timeout = self._settings.silence_timeout.total_seconds()
         with trio.move_on_after(timeout):
             try:
@@ -178,10 +180,10 @@
         await self._fail(CloseReason.SILENT)
 
     async def write_frames(self) -> None:
-        """Write what is queued, all of it in one write, until the connection closes."""
+        """Write queued frames, all in a single write, until the connection closes."""
         while self.closed is None:
-            await self._work.wait()
-            self._work = trio.Event()
+            await self._frames_queued.wait()
+            self._frames_queued = trio.Event()
             data = b"".join(self._outgoing)
             self._outgoing.clear()
             if not data:
@@ -194,19 +196,19 @@
                 return
             self._writing_since = None
             self._outgoing_bytes -= len(data)
-            self._announce_progress()
+            self._notify_progress()
 
     async def watch(self) -> None:
-        """Send heartbeats, and close the connection when it has gone silent."""
+        """Send heartbeats, and close the connection if the peer is silent for too long."""
         interval = self._settings.heartbeat_interval.total_seconds()
         woken_at = self._clock.monotonic()
         while self.closed is None:
             await trio.sleep(interval)
             now = self._clock.monotonic()
-            # A process that was paused finds both timers long past although the peer's bytes wait
-            # in the socket; a late wake-up shows it, and the timers start anew.
-            if now - woken_at > interval * PAUSE_FACTOR:
-                self._restart_timers(now)
+            # After a pause of this process both timers look expired, although bytes of the peer
+            # may wait in the socket. A late wake-up reveals the pause; the timers then restart.
+            if now - woken_at > interval * PAUSE_INTERVALS:
+                self._restart_silence_timers(now)
             woken_at = now
             if self._is_silent(now):
                 await self.close(CloseReason.SILENT)
@@ -241,14 +243,14 @@
         self._incoming.feed(data)
 
     def _is_silent(self, now: float) -> bool:
-        # A connection that something between the two ends has lost track of never breaks: reads
-        # and writes just wait. Heartbeats come at a known interval, so a long wait shows it. Time
-        # in which this side was not reading does not count against the peer.
+        # If a middlebox drops the connection's state, reads and writes wait forever without an
+        # error. Heartbeats arrive at a known interval, so a long wait reveals it. Time in which
+        # this side was not reading does not count against the peer.
         timeout = self._settings.silence_timeout.total_seconds()
         waits = (self._reading_since, self._writing_since)
         return any(since is not None and now - since >= timeout for since in waits)
 
-    def _restart_timers(self, now: float) -> None:
+    def _restart_silence_timers(self, now: float) -> None:
         if self._reading_since is not None:
             self._reading_since = now
         if self._writing_since is not None:
@@ -260,9 +262,9 @@
         else:
             self._outgoing.append(frame)
         self._outgoing_bytes += len(frame)
-        self._work.set()
+        self._frames_queued.set()
 
-    def _announce_progress(self) -> None:
+    def _notify_progress(self) -> None:
         self._progress.set()
         self._progress = trio.Event()
 
@@ -281,16 +283,16 @@
     clock: Clock,
     hello: Hello,
     settings: ConnectionSettings = DEFAULT_SETTINGS,
-    heartbeat: Callable[[int], Heartbeat] = plain_heartbeat,
+    heartbeat: Callable[[int], Heartbeat] = default_heartbeat,
 ) -> AsyncIterator[Connection]:
-    """Exchange hellos over a stream, and keep the connection open for the body of the `with`.
+    """Exchange hellos over a stream and keep the connection open within the `async with` body.
 
     Args:
-        stream: A connected stream; it is closed on leaving.
+        stream: A connected stream; it is closed on exit.
         clock: The process's clock.
-        hello: This side's first message.
-        settings: Intervals and bounds.
-        heartbeat: Makes each heartbeat from its sequence number.
+        hello: This side's hello.
+        settings: Intervals and limits of the connection.
+        heartbeat: Creates a heartbeat from its sequence number.
 
     Raises:
         ConnectionClosed: The exchange of hellos failed.
@@ -298,7 +300,7 @@
     connection = Connection(stream, clock, settings, heartbeat)
     failure: Exception | None = None
     try:
-        await connection.shake_hands(hello)
+        await connection.exchange_hellos(hello)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(connection.write_frames)
             nursery.start_soon(connection.watch)
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/delivered_text.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/delivered_text.py
@@ -1,11 +1,11 @@
-"""The text of a streamed answer that the caller already has, for an engine to go on after."""
+"""Text of a streamed answer that the caller has received, so that an engine can resume it."""
 
 from __future__ import annotations
 
 import msgspec
 
-COMPACT_AT = 16_384
-"""Bytes of events kept before they are reduced to their text, which bounds a stream's memory."""
+COMPACT_AT_BYTES = 16_384
+"""Bytes of buffered events above which they are reduced to text; bounds a stream's memory."""
 
 _DATA = b"data: "
 
@@ -26,7 +26,7 @@
 
 
 class DeliveredText:
-    r"""Keeps the events as they were sent, and reads their text only where it is asked for.
+    r"""Buffers the sent events and parses them lazily.
 
     Example:
         >>> delivered = DeliveredText()
@@ -40,25 +40,25 @@
         self._events = bytearray()
 
     def add(self, events: bytes) -> None:
-        """Keep whole events that were sent to the caller."""
+        """Add complete events that were sent to the caller."""
         self._events += events
-        if len(self._events) >= COMPACT_AT:
+        if len(self._events) >= COMPACT_AT_BYTES:
             self._compact()
 
     def text(self) -> str:
-        """Return the text that the caller has."""
+        """Return the text that the caller has received."""
         self._compact()
         return self._texts[0] if self._texts else ""
 
     def _compact(self) -> None:
         for line in bytes(self._events).splitlines():
             if line.startswith(_DATA):
-                self._texts.append(_text_of(line[len(_DATA) :]))
+                self._texts.append(_event_text(line[len(_DATA) :]))
         self._events.clear()
         self._texts = ["".join(self._texts)]
 
 
-def _text_of(data: bytes) -> str:
+def _event_text(data: bytes) -> str:
     try:
         event = _decoder.decode(data)
     except msgspec.DecodeError:
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/framing.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/framing.py
@@ -1,14 +1,15 @@
-"""Frames with a length before each, cut out of a byte stream."""
+"""Length-prefixed framing over a byte stream."""
 
 from __future__ import annotations
 
-from .codec import MAXIMUM_FRAME, MalformedFrame, MalformedReason
+from .codec import MAX_FRAME_BYTES, MalformedFrame, MalformedReason
 
 LENGTH_BYTES = 4
+"""Size of the length prefix, a big-endian integer."""
 
 
 def with_length(frame: bytes) -> bytes:
-    """Return a frame with its length in front.
+    """Return a frame with its length prefix.
 
     Example:
         >>> with_length(b"ab").hex()
@@ -18,7 +19,7 @@
 
 
 class FrameBuffer:
-    """Collects received bytes and gives whole frames.
+    """Collects received bytes and returns complete frames.
 
     Example:
         >>> buffer = FrameBuffer()
@@ -40,12 +41,12 @@
         self._bytes += data
 
     def next_frame(self) -> bytes | MalformedFrame | None:
-        """Return the next whole frame, or None where more bytes are needed."""
+        """Return the next complete frame, or None if more bytes are needed."""
         body = self._start + LENGTH_BYTES
         if len(self._bytes) < body:
             return None
         length = int.from_bytes(self._bytes[self._start : body], "big")
-        if length > MAXIMUM_FRAME:
+        if length > MAX_FRAME_BYTES:
             return MalformedFrame(MalformedReason.TOO_LARGE)
         end = body + length
         if len(self._bytes) < end:
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/messages.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/messages.py
@@ -1,6 +1,6 @@
-"""Typed messages between entry and agent.
+"""Types of the messages between an entry and an agent.
 
-An entry dials an agent and keeps one connection to it; all requests between the two share it.
+An entry opens one connection to each agent; all requests between the two share it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """One HTTP header, in bytes as it came."""
+    """An HTTP header, in the bytes as received."""
 
     name: bytes
     value: bytes
@@ -25,22 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryHello:
-    """First message of an entry on a connection."""
+    """Entry to agent: first message on a connection."""
 
     entry_id: str
-    """Name and incarnation of the entry."""
+    """Name and incarnation of the entry process."""
     zone: str
     revision: int
-    """Configuration revision in force at the sender."""
+    """Configuration revision that the sender has in force."""
     version: int = PROTOCOL_VERSION
 
 
 @dataclass(frozen=True, slots=True)
 class AgentHello:
-    """First message of an agent on a connection."""
+    """Agent to entry: first message on a connection."""
 
     agent_id: str
-    """Name and incarnation of the agent."""
+    """Name and incarnation of the agent process."""
     zone: str
     kind: BackendKind
     targets: tuple[str, ...]
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent both ways on every connection; an agent adds its load."""
+    """Both directions: shows that the sender is alive; an agent includes its load."""
 
     sequence: int
     revision: int
@@ -60,30 +60,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Reserve:
-    """Entry to agent: asks for a slot. The body stays at the entry."""
+    """Entry to agent: requests a slot. The body stays at the entry until a slot is granted."""
 
     request_id: str
     request_class: str
     account: str
     target: str
     remaining: timedelta
-    """Time left to the deadline; each side counts it on its own monotonic clock."""
+    """Time until the deadline; each side measures it with its own monotonic clock."""
     prompt_tokens: int = 0
     expected_tokens: int = 0
     prefix_hash: int = 0
     resumed_tokens: int = 0
     idempotent: bool = True
     order_key: str = ""
-    """Idempotency key of an order, scoped by the client account; empty for other requests."""
+    """Idempotency key of an order, scoped to its client account; empty for other requests."""
     body_digest: bytes = b""
-    """Digest of an order's body, so that a key is not used for two bodies."""
+    """Digest of an order's body, which detects a key that is reused for another body."""
     order_time: float = 0.0
-    """Wall time, in seconds since the epoch, at which the caller says the order was made."""
+    """Time at which the caller created the order, in Unix seconds, as the caller states it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """Agent to entry: a slot is held; the body may be sent."""
+    """Agent to entry: a slot is reserved; the entry may send the body."""
 
     request_id: str
     lifetime: timedelta
@@ -91,23 +91,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Agent to entry: the request does not run here and has not run."""
+    """Agent to entry: the agent does not run the request and has not run it."""
 
     request_id: str
     outcome: Outcome
-    """Usually `NotRun`; for an order whose key was used before, its recorded outcome."""
+    """Usually `NotRun`; for an order whose key was already used, the recorded outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Entry to agent: the reservation or the running request is no longer wanted."""
+    """Entry to agent: cancels a reservation or a running request."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Entry to agent: the body, sent to exactly one grant."""
+    """Entry to agent: the request with its body; sent to only one of the agents that granted."""
 
     request_id: str
     method: str
@@ -116,14 +116,14 @@
     body: bytes
     traceparent: str = ""
     resume_text: str = ""
-    """Text the caller already has, where an answer is resumed."""
+    """When an answer is resumed: the text that the caller has already received."""
     window: int = 262_144
-    """Bytes the agent may send before more credit comes."""
+    """Bytes that the agent may send before it receives more credit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Agent to entry: status and headers of the backend server's answer."""
+    """Agent to entry: status and headers of the backend server's response."""
 
     request_id: str
     status: int
@@ -132,26 +132,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A piece of an answer."""
+    """A part of a response body."""
 
     request_id: str
     sequence: int
-    """Rises by one with each piece of the request, so that none is lost or doubled on reattach."""
+    """Increases by one per chunk of a request, to detect lost or duplicate chunks on reattach."""
     data: bytes
     tokens: int = 0
-    """Generated tokens in the piece."""
+    """Number of generated tokens in the chunk."""
 
 
 @dataclass(frozen=True, slots=True)
 class Chunks:
-    """Agent to entry: pieces of several answers in one frame, as an engine's step gives them."""
+    """Agent to entry: chunks of several responses in one frame, as an engine step produces them."""
 
     chunks: tuple[Chunk, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """Agent to entry: the request's final outcome; `sequence` is one past the last piece."""
+    """Agent to entry: the request's final outcome; `sequence` is one past the last chunk."""
 
     request_id: str
     sequence: int
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Credit:
-    """Entry to agent: pieces before `sequence` were delivered, and more bytes may be sent."""
+    """Entry to agent: chunks before `sequence` were delivered; the agent may send more bytes."""
 
     request_id: str
     sequence: int
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attach:
-    """Entry to agent, on a new connection: goes on with a running request from `sequence`."""
+    """Entry to agent, on a new connection: resumes a running request from `sequence`."""
 
     request_id: str
     account: str
@@ -181,21 +181,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Detached:
-    """Agent to entry: the request to attach is not known here, so its outcome is not known."""
+    """Agent to entry: the agent does not know the request to attach; its outcome is unknown."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRequest:
-    """Either way: asks a peer for the configuration records from an offset on."""
+    """Both directions: requests configuration records, starting at an offset."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """One record of the configuration stream, as it stands in the log."""
+    """A record of the configuration stream, as stored in the log."""
 
     offset: int
     payload: bytes
@@ -203,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecords:
-    """Either way: records a peer asked for; the receiver folds them itself."""
+    """Both directions: the requested records; the receiver derives the configuration from them."""
 
     records: tuple[ConfigurationRecord, ...]
 
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/wire.capnp
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/wire.capnp
@@ -1,6 +1,6 @@
 @0xd86941ad0dd0313b;
-# Frames between entry and agent. Fields are only ever added, with the next free number.
-# Durations are microseconds; -1 stands for none where a field may be absent.
+# Messages between an entry and an agent. To stay compatible, only add fields, with the next free
+# number. Durations are in microseconds; -1 means that an optional value is absent.
 
 struct Envelope {
   union {
--- a/packages/ragwortwing-wire/tests/test_codec.py
+++ b/packages/ragwortwing-wire/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Contract of the codec: every message survives the way there and back; bad bytes are typed."""
+"""Tests of the codec: messages round-trip, and invalid bytes give a typed error."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ragwortwing_policy.routing import BackendKind
 from ragwortwing_wire import messages as m
 from ragwortwing_wire.codec import (
-    MAXIMUM_FRAME,
+    MAX_FRAME_BYTES,
     FrameTooLargeError,
     MalformedFrame,
     MalformedReason,
@@ -55,46 +55,48 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
-def test_round_trip(message: m.Message) -> None:
+def test_message_round_trips(message: m.Message) -> None:
     assert decode(encode(message)) == message
 
 
-def test_every_message_type_is_in_the_table() -> None:
+def test_round_trip_covers_every_message_type() -> None:
     assert {type(each) for each in MESSAGES} == set(m.Message.__args__)
 
 
-def test_too_large_message_is_refused_before_it_is_sent() -> None:
+def test_encode_rejects_a_message_that_is_too_large() -> None:
     with pytest.raises(FrameTooLargeError):
-        encode(m.ConfigurationRecords((m.ConfigurationRecord(0, bytes(MAXIMUM_FRAME)),)))
+        encode(m.ConfigurationRecords((m.ConfigurationRecord(0, bytes(MAX_FRAME_BYTES)),)))
 
 
-def test_list_that_claims_more_than_its_frame_holds_is_malformed() -> None:
-    """A few bytes claim a million empty records.
+def test_list_longer_than_its_frame_is_malformed() -> None:
+    """Guards against a small frame that declares a million empty records.
 
-    Without the bound on words read, the receiver builds them all and is killed for its memory.
+    Without the traversal limit the receiver builds them all and is killed when memory runs out.
     """
     frame = bytearray(encode(m.ConfigurationRecords(())))
-    # The last word is the list's tag: the count of elements, then the size of one, here nothing.
+    # The last word is the list's tag: the element count, then the size of an element, here 0.
     frame[-8:] = ((1 << 20) << 2).to_bytes(8, "little")
     assert isinstance(decode(bytes(frame)), MalformedFrame)
 
 
 @given(st.binary(max_size=200))
 @settings(derandomize=True, deadline=None)
-def test_any_bytes_give_a_message_or_a_typed_error(data: bytes) -> None:
+def test_decode_returns_a_message_or_a_typed_error_for_any_bytes(data: bytes) -> None:
     decode(data)
 
 
 @given(st.sampled_from(MESSAGES), st.data())
 @settings(derandomize=True, deadline=None, max_examples=400)
-def test_damaged_frames_give_a_message_or_a_typed_error(message: m.Message, data: st.DataObject):
+def test_decode_returns_a_message_or_a_typed_error_for_damaged_frames(
+    message: m.Message, data: st.DataObject
+):
     frame = bytearray(encode(message))
     for _ in range(data.draw(st.integers(1, 4))):
         frame[data.draw(st.integers(0, len(frame) - 1))] = data.draw(st.integers(0, 255))
     decode(bytes(frame[: data.draw(st.integers(0, len(frame)))]))
 
 
-def test_unknown_reason_is_malformed() -> None:
+def test_unknown_outcome_reason_is_malformed() -> None:
     frame = encode(m.Refused("r", Unknown(UnknownReason.TIMEOUT)))
     assert decode(frame.replace(b"timeout", b"tomeout")) == MalformedFrame(
         MalformedReason.BAD_VALUE
--- a/packages/ragwortwing-wire/tests/test_connection.py
+++ b/packages/ragwortwing-wire/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Contract of the connection: hellos, heartbeats, bounds, and a typed reason for each end."""
+"""Tests of the connection: hellos, heartbeats, send limit, and the reason of each close."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
         return DEFAULT_EPOCH + timedelta(seconds=trio.current_time())
 
 
-async def test_messages_arrive_in_order_and_a_closed_peer_ends_the_iteration() -> None:
-    ours, theirs = trio.testing.memory_stream_pair()
+async def test_messages_arrive_in_order_and_iteration_ends_when_the_peer_closes() -> None:
+    local, remote = trio.testing.memory_stream_pair()
     received = []
 
     async def sender() -> None:
-        async with open_connection(theirs, TrioClock(), HELLO) as connection:
+        async with open_connection(remote, TrioClock(), HELLO) as connection:
             for index in range(100):
                 await connection.send(Withdraw(str(index)))
             await connection.flush()
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(sender)
-        async with open_connection(ours, TrioClock(), HELLO) as connection:
+        async with open_connection(local, TrioClock(), HELLO) as connection:
             assert connection.peer == HELLO
             async for message in connection:
                 received.append(message)
@@ -55,31 +55,31 @@
 
 
 async def test_silent_peer_is_closed_after_the_timeout(autojump_clock: trio.testing.MockClock):
-    """A middle box forgets the connection: no bytes come, no write fails, nothing breaks.
+    """Guards against callers that wait forever when a middlebox drops the connection's state.
 
-    Callers would wait for ever; the heartbeats that stay away show it.
+    No bytes arrive and no write fails; only the missing heartbeats reveal it.
     """
-    ours, theirs = trio.testing.memory_stream_pair()
-    await theirs.send_all(with_length(encode(HELLO)))
+    local, remote = trio.testing.memory_stream_pair()
+    await remote.send_all(with_length(encode(HELLO)))
     started = trio.current_time()
-    async with open_connection(ours, TrioClock(), HELLO) as connection:
+    async with open_connection(local, TrioClock(), HELLO) as connection:
         async for _ in connection:
             raise AssertionError("nothing was sent")
         assert connection.closed is CloseReason.SILENT
     assert 2 <= trio.current_time() - started <= 3
 
 
-async def test_paused_process_does_not_take_its_own_pause_for_silence(
+async def test_process_pause_is_not_mistaken_for_a_silent_peer(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A process stands still for a minute; its peer was alive all the time.
+    """Guards against a connection that is closed because this process was paused for a minute.
 
-    Its timers are long past when it goes on, while the peer's bytes still wait to be read.
+    After the pause its timers have expired, while bytes of the live peer wait to be read.
     """
-    ours, theirs = trio.testing.memory_stream_pair()
-    await theirs.send_all(with_length(encode(HELLO)))
+    local, remote = trio.testing.memory_stream_pair()
+    await remote.send_all(with_length(encode(HELLO)))
     clock = ManualClock()
-    async with open_connection(ours, clock, HELLO) as connection, trio.open_nursery() as nursery:
+    async with open_connection(local, clock, HELLO) as connection, trio.open_nursery() as nursery:
 
         async def read() -> None:
             async for _ in connection:
@@ -96,8 +96,10 @@
         assert connection.closed is CloseReason.SILENT
 
 
-async def test_idle_connection_lives_on_heartbeats(autojump_clock: trio.testing.MockClock) -> None:
-    ours, theirs = trio.testing.memory_stream_pair()
+async def test_heartbeats_keep_an_idle_connection_open(
+    autojump_clock: trio.testing.MockClock,
+) -> None:
+    local, remote = trio.testing.memory_stream_pair()
     heartbeats = []
 
     async def read(stream: trio.abc.Stream) -> None:
@@ -109,16 +111,18 @@
             await trio.sleep(1)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(read, ours)
-        nursery.start_soon(read, theirs)
+        nursery.start_soon(read, local)
+        nursery.start_soon(read, remote)
     assert len(heartbeats) > 200
     assert all(isinstance(each, Heartbeat) for each in heartbeats)
 
 
-async def test_peer_that_never_says_hello(autojump_clock: trio.testing.MockClock) -> None:
-    ours, _theirs = trio.testing.memory_stream_pair()
+async def test_peer_that_sends_no_hello_is_closed_as_silent(
+    autojump_clock: trio.testing.MockClock,
+) -> None:
+    local, _remote = trio.testing.memory_stream_pair()
     with pytest.raises(ConnectionClosed) as caught:
-        async with open_connection(ours, TrioClock(), HELLO):
+        async with open_connection(local, TrioClock(), HELLO):
             raise AssertionError
     assert caught.value.reason is CloseReason.SILENT
 
@@ -134,34 +138,36 @@
         (b"", CloseReason.ENDED),
     ],
 )
-async def test_bad_first_message(first: bytes, reason: CloseReason) -> None:
-    ours, theirs = trio.testing.memory_stream_pair()
-    await theirs.send_all(first)
-    await theirs.send_stream.aclose()
+async def test_invalid_first_message_closes_the_connection(
+    first: bytes, reason: CloseReason
+) -> None:
+    local, remote = trio.testing.memory_stream_pair()
+    await remote.send_all(first)
+    await remote.send_stream.aclose()
     with pytest.raises(ConnectionClosed) as caught:
-        async with open_connection(ours, TrioClock(), HELLO):
+        async with open_connection(local, TrioClock(), HELLO):
             raise AssertionError
     assert caught.value.reason is reason
 
 
-async def test_peer_that_takes_no_bytes_holds_its_senders_and_is_closed(
+async def test_peer_that_stops_reading_blocks_senders_and_is_closed(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A peer stops reading. Without a bound this process would hold every byte sent to it."""
-    ours, theirs = trio.testing.lockstep_stream_pair()
+    """Guards against a send queue that grows without bound when the peer stops reading."""
+    local, remote = trio.testing.lockstep_stream_pair()
     limit = ConnectionSettings(outgoing_limit=10_000)
     sent = 0
 
-    async def greet() -> None:
-        await theirs.send_all(with_length(encode(HELLO)))
+    async def send_hello() -> None:
+        await remote.send_all(with_length(encode(HELLO)))
 
-    async def take_hello() -> None:
-        await theirs.receive_some(4096)
+    async def receive_hello() -> None:
+        await remote.receive_some(4096)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(greet)
-        nursery.start_soon(take_hello)
-        async with open_connection(ours, TrioClock(), HELLO, limit) as connection:
+        nursery.start_soon(send_hello)
+        nursery.start_soon(receive_hello)
+        async with open_connection(local, TrioClock(), HELLO, limit) as connection:
             with pytest.raises(ConnectionClosed) as caught:
                 while True:
                     await connection.send(
