--- a/packages/ragwortwing-agent/src/ragwortwing_agent/__init__.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent process beside each backend server."""
+"""The agent: a process next to each backend server that queues and forwards its requests."""
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/__main__.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the agent."""
+"""Command-line interface of the agent: `run`, `status` and `drain`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 @main.command()
 @click.option("--settings", "settings_path", type=click.Path(path_type=Path), required=True)
 def run(settings_path: Path) -> None:
-    """Run the agent until SIGTERM, a drain, or the membership list's word."""
+    """Run the agent until SIGTERM or SIGINT, a drain, or a newer agent replaces it."""
     import trio
 
     from ragwortwing_runtime.logs import install_logs
@@ -53,14 +53,14 @@
 @main.command()
 @_address_option
 def status(address: str) -> None:
-    """Show what an agent does now."""
+    """Show the current state of an agent."""
     _call(address, "GET", "/status")
 
 
 @main.command()
 @_address_option
 def drain(address: str) -> None:
-    """Ask an agent for a planned stop: what runs finishes, nothing new starts."""
+    """Drain an agent: running requests finish, no new ones start, then the process exits."""
     _call(address, "POST", "/drain")
 
 
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/agent_app.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/agent_app.py
@@ -1,4 +1,8 @@
-"""The agent process: listens for entries and is the one gate of its backend server."""
+"""The agent application: accepts connections from entries and forwards their requests.
+
+Entries are the processes that accept requests from callers. Every request to the backend server
+passes through this agent, so that one scheduler limits the server's concurrency.
+"""
 
 from __future__ import annotations
 
@@ -48,26 +52,26 @@
 log = logbook.Logger("agent")
 
 TICK_SECONDS = 0.1
-"""Time between two looks of the scheduler at the clock."""
+"""Interval at which the scheduler handles timeouts."""
 
-PAUSE = timedelta(seconds=1)
-"""A tick that comes this late shows that the process stood still."""
+SUSPENSION_THRESHOLD = timedelta(seconds=1)
+"""Two ticks further apart than this mean that the process was suspended."""
 
-LEAVE_TIMEOUT = 0.5
-"""Seconds for leaving the list at the end of the process; the line lapses without it."""
+LEAVE_TIMEOUT_SECONDS = 0.5
+"""Seconds to deregister from the member list on exit; otherwise its record there expires."""
 
-RECORDS_BYTES = 1_048_576
-"""Bytes of configuration records sent to a peer in one frame."""
+RECORDS_FRAME_TARGET_BYTES = 1_048_576
+"""Payload size at which a frame of configuration records is sent and the next one begun."""
 
 
 class AgentApp(App):
-    """One agent."""
+    """Owns the agent's connections, request gate, configuration and status server."""
 
     def __init__(
         self,
         settings: AgentSettings,
         backend: BackendClient,
-        source: ConfigurationFeed,
+        configuration_feed: ConfigurationFeed,
         members: MemberSource | None,
         orders: OrderBook | None,
         admin: EngineAdmin | None,
@@ -78,11 +82,11 @@
 
         Args:
             settings: The process's settings.
-            backend: The backend server beside the agent.
-            source: The configuration in force.
-            members: The list of VMs, which this agent joins.
-            orders: Claims the keys of orders; only beside a plain service.
-            admin: Gives a model engine its orders.
+            backend: Client of the backend server that this agent serves.
+            configuration_feed: Provides the configuration in force.
+            members: The member list of VMs, which this agent joins; None to run without it.
+            orders: Claims the idempotency keys of orders; None for a model engine.
+            admin: Sends a model engine its administrative orders; None for a plain service.
             agent_id: Name and incarnation, see `new_agent_id`.
             clock: The process's clock.
         """
@@ -92,7 +96,7 @@
         self.telemetry = Telemetry(
             "ragwortwing-agent", settings.name, settings.zone, settings.telemetry
         )
-        self._source = source
+        self._configuration_feed = configuration_feed
         self._members = members
         self._orders = orders
         self._admin = admin
@@ -100,19 +104,23 @@
         self._status_server = StatusServer(self, settings.listen.http)
         self._peers: set[EntryPeer] = set()
         self._last_load: LoadReport | None = None
-        self._stop_asked = False
+        self._drain_requested = False
         self._advertised = ""
 
     @property
     def is_ready(self) -> bool:
-        """Whether new work is taken."""
-        return self.phase is Phase.SERVING and self._source.current is not None
+        """Whether the agent accepts new requests."""
+        return self.phase is Phase.SERVING and self._configuration_feed.current is not None
 
     async def mount(self) -> Mapping[str, str]:
-        """Follow the platform's services and listen for entries."""
+        """Start the background tasks and listen for entries and for HTTP.
+
+        Returns:
+            The addresses that the process listens on, by name.
+        """
         self.nursery.start_soon(self.telemetry.send_spans)
         await self.nursery.start(self.gate.run)
-        await self.nursery.start(self._source.run)
+        await self.nursery.start(self._configuration_feed.run)
         if self._orders is not None:
             await self.nursery.start(self._orders.run)
         if self._members is not None:
@@ -123,22 +131,22 @@
             )
         self.nursery.start_soon(self._follow_configuration)
         self.nursery.start_soon(self._tick)
-        wire = await self._listen()
-        self._advertised = str(self.settings.listen.advertised or wire)
+        wire_address = await self._listen()
+        self._advertised = str(self.settings.listen.advertised or wire_address)
         self._announce(MemberState.LIVE)
-        http = await self.nursery.start(self._status_server.run)
-        return {"wire": wire, "http": http}
+        http_address = await self.nursery.start(self._status_server.run)
+        return {"wire": wire_address, "http": http_address}
 
     def begin_drain(self) -> None:
-        """Ask for a planned stop; asked again, nothing changes."""
-        if not self._stop_asked:
-            self._stop_asked = True
+        """Start a graceful stop. Further calls have no effect."""
+        if not self._drain_requested:
+            self._drain_requested = True
             self.stop()
 
     async def drain(self) -> None:
-        """Hand back what is queued, grant nothing, and wait for what runs."""
-        self._stop_asked = True
-        # Entries whose connections have gone silent learn of the stop from the list.
+        """Refuse queued requests, grant no more slots, and wait for running requests to end."""
+        self._drain_requested = True
+        # Entries whose connections no longer deliver data see the stop in the member list.
         self._announce(MemberState.LEAVING)
         self.gate.drain()
         for peer in self._peers:
@@ -153,15 +161,15 @@
         return tuple(each.request_id for each in requests if each.is_unfinished)
 
     async def unmount(self) -> None:
-        """Leave the list, send the last spans and stop to listen."""
-        with trio.move_on_after(LEAVE_TIMEOUT):
+        """Leave the member list, flush telemetry and stop the status server."""
+        with trio.move_on_after(LEAVE_TIMEOUT_SECONDS):
             if self._members is not None:
                 await self._members.leave()
         await self.telemetry.flush()
         await self._status_server.close()
 
     def status(self) -> dict[str, object]:
-        """Return what the agent does now."""
+        """Return the current state as it is shown at `/status`."""
         load = self.gate.load()
         requests = self.gate.requests_by_id.values()
         return {
@@ -171,7 +179,7 @@
             "zone": self.settings.zone,
             "backend": str(self.settings.backend.address),
             "targets": list(self.settings.backend.targets),
-            "revision": self._source.revision,
+            "revision": self._configuration_feed.revision,
             "members_version": None if self._members is None else self._members.current.version,
             "entries": [peer.name for peer in self._peers],
             "running": load.running,
@@ -192,7 +200,7 @@
         }
 
     def metrics_text(self) -> bytes:
-        """Return the metrics in Prometheus text form."""
+        """Return the metrics in the Prometheus text format."""
         return self.telemetry.metrics_text()
 
     async def _listen(self) -> str:
@@ -204,10 +212,12 @@
 
     async def _serve_entry(self, stream: trio.SocketStream) -> None:
         connections = self.settings.connections
-        wire = ConnectionSettings(connections.heartbeat_interval, connections.heartbeat_timeout)
+        connection_settings = ConnectionSettings(
+            connections.heartbeat_interval, connections.heartbeat_timeout
+        )
         try:
             async with open_connection(
-                stream, self.clock, self._hello(), wire, self._heartbeat
+                stream, self.clock, self._hello(), connection_settings, self._heartbeat
             ) as connection:
                 if isinstance(connection.peer, EntryHello):
                     await self._serve_peer(connection)
@@ -221,7 +231,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(peer.pump)
-                session.greet()
+                session.send_initial_state()
                 async for message in connection:
                     session.receive(message)
                 nursery.cancel_scope.cancel()
@@ -237,19 +247,19 @@
             zone=self.settings.zone,
             kind=backend.kind,
             targets=backend.targets,
-            revision=self._source.revision,
+            revision=self._configuration_feed.revision,
         )
 
     def _heartbeat(self, sequence: int) -> Heartbeat:
         leaving = self.phase is not Phase.SERVING
-        return Heartbeat(sequence, self._source.revision, self.gate.load(), leaving)
+        return Heartbeat(sequence, self._configuration_feed.revision, self.gate.load(), leaving)
 
     async def _follow_configuration(self) -> None:
-        configuration = await self._source.ready()
+        configuration = await self._configuration_feed.ready()
         while True:
             self.gate.configure(configuration)
             log.info("Configuration in force", revision=configuration.revision)
-            configuration = await self._source.changed()
+            configuration = await self._configuration_feed.changed()
 
     def _announce(self, state: MemberState) -> None:
         if self._members is None:
@@ -262,15 +272,15 @@
         while True:
             await trio.sleep(TICK_SECONDS)
             now = self.clock.monotonic()
-            if now - ticked_at > PAUSE.total_seconds():
-                # Everything this process held (grants, claims, connections) may have run out while
-                # it stood still; each is checked against the clock before it is used.
+            if now - ticked_at > SUSPENSION_THRESHOLD.total_seconds():
+                # Grants, claims and connections of this process may have expired while it was
+                # suspended; each is checked against the clock before it is used.
                 log.warning("The process stood still", seconds=round(now - ticked_at, 3))
             ticked_at = now
             self.gate.tick()
-            self._tell_load()
+            self._send_changed_load()
 
-    def _tell_load(self) -> None:
+    def _send_changed_load(self) -> None:
         load = self.gate.load()
         if load == self._last_load:
             return
@@ -280,14 +290,17 @@
 
 
 class EntrySession(MessageHandlers):
-    """Takes one entry's messages: about requests at the gate, about configuration here."""
+    """Dispatches the messages of one entry.
+
+    Messages about requests go to the request gate; messages about configuration are handled here.
+    """
 
     def __init__(self, app: AgentApp, peer: EntryPeer) -> None:
         self._app = app
         self._peer = peer
 
-    def greet(self) -> None:
-        """Ask for what the entry is ahead with, and tell the load."""
+    def send_initial_state(self) -> None:
+        """Send the current load, and request configuration records that only the entry has."""
         peer_hello = self._peer.connection.peer
         assert peer_hello is not None
         self._peer.connection.beat()
@@ -300,22 +313,22 @@
         elif type(message) in self._app.gate.handlers_by_type:
             self._app.gate.handle(message, self._peer)
         else:
-            log.warning("Message of no use here", kind=type(message).__name__)
+            log.warning("Unexpected message type", kind=type(message).__name__)
 
     @on(Heartbeat)
     def on_heartbeat(self, message: Heartbeat) -> None:
-        """Catch up with an entry that is ahead."""
+        """Request the missing records if the entry has a newer configuration."""
         self._catch_up(message.revision)
 
     @on(ConfigurationRequest)
     def on_configuration_request(self, message: ConfigurationRequest) -> None:
-        """Send the records that an entry lacks."""
+        """Send the requested records, split into frames."""
         batch: list[ConfigurationRecord] = []
         size = 0
-        for record in self._app._source.records_from(message.offset):
+        for record in self._app._configuration_feed.records_from(message.offset):
             batch.append(record)
             size += len(record.payload)
-            if size >= RECORDS_BYTES:
+            if size >= RECORDS_FRAME_TARGET_BYTES:
                 self._peer.post(ConfigurationRecords(tuple(batch)))
                 batch, size = [], 0
         if batch:
@@ -323,15 +336,15 @@
 
     @on(ConfigurationRecords)
     def on_configuration_records(self, message: ConfigurationRecords) -> None:
-        """Fold records that this agent asked for."""
-        self._app._source.take_peer_records(message.records)
+        """Apply records that this agent requested."""
+        self._app._configuration_feed.take_peer_records(message.records)
 
     def _catch_up(self, revision: int) -> None:
-        source = self._app._source
-        if revision > source.revision:
-            self._peer.post(ConfigurationRequest(source.state.position))
+        configuration_feed = self._app._configuration_feed
+        if revision > configuration_feed.revision:
+            self._peer.post(ConfigurationRequest(configuration_feed.state.position))
 
 
 def new_agent_id(name: str) -> str:
-    """Return a name with an incarnation, so that no two processes share it."""
+    """Return the name with a random suffix that tells a restarted process from its predecessor."""
     return f"{name}/{secrets.token_hex(4)}"
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/agent_metrics.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/agent_metrics.py
@@ -1,4 +1,4 @@
-"""The agent's metrics."""
+"""OpenTelemetry metrics of the agent."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AgentMetrics:
-    """Instruments that are fed as calls end, and gauges that are read on scrape."""
+    """Counters that are updated as calls end, and gauges that are read on each scrape."""
 
     def __init__(self, meter: Meter) -> None:
         self._meter = meter
@@ -32,8 +32,8 @@
             "ragwortwing_agent_preemptions", description="Running requests preempted, by class"
         )
 
-    def watch(self, gate: RequestGate) -> None:
-        """Read the gate's counts on each scrape."""
+    def register_gauges(self, gate: RequestGate) -> None:
+        """Register gauges that read the gate's counts on each scrape."""
         gauges: dict[str, Callable[[], float]] = {
             "running": lambda: gate.load().running,
             "queued": lambda: gate.load().queued,
@@ -43,15 +43,15 @@
         for name, read in gauges.items():
             self._meter.create_observable_gauge(f"ragwortwing_agent_{name}", [_observe(read)])
 
-    def ended(self, request: AgentRequest, outcome: Outcome) -> None:
-        """Count a call that ended."""
+    def record_ended(self, request: AgentRequest, outcome: Outcome) -> None:
+        """Count a call that ended, and its tokens."""
         by_class = {"class": request.reserve.request_class}
         reason = "" if isinstance(outcome, Completed) else outcome.reason.value
         self._calls.add(1, {**by_class, "outcome": outcome.kind.value, "reason": reason})
         self._tokens.add(request.tokens, by_class)
 
-    def preempted(self, request: AgentRequest) -> None:
-        """Count a running request that gave its slot up."""
+    def record_preempted(self, request: AgentRequest) -> None:
+        """Count a running request that was preempted."""
         self._preemptions.add(1, {"class": request.reserve.request_class})
 
 
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/answer_buffer.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/answer_buffer.py
@@ -1,4 +1,4 @@
-"""Pieces of one answer that the entry has not yet confirmed, and how many more may be sent."""
+"""Flow control for one response: buffers chunks until the entry acknowledges them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from ragwortwing_wire.messages import Chunk
 
-UNSENT_LIMIT = 65_536
-"""Bytes that may wait for credit; above it the backend server is not read any further."""
+UNSENT_LIMIT_BYTES = 65_536
+"""Unsent bytes at which the agent stops reading from the backend server."""
 
 
 class AnswerBuffer:
-    """Numbers the pieces and keeps them until they are confirmed.
+    """Numbers chunks, limits sending to the window, and keeps chunks until acknowledged.
 
     Example:
         >>> buffer = AnswerBuffer("r1", window=4)
@@ -19,14 +19,14 @@
         >>> buffer.add(b"def", tokens=1)
         >>> [chunk.sequence for chunk in buffer.take_sendable()]
         [0]
-        >>> buffer.confirm(1, window=4)
+        >>> buffer.acknowledge(1, window=4)
         >>> [chunk.sequence for chunk in buffer.take_sendable()]
         [1]
     """
 
     def __init__(self, request_id: str, window: int) -> None:
         self.next_sequence = 0
-        """Sequence number of the piece that is added next."""
+        """Sequence number of the next chunk to be added."""
         self._request_id = request_id
         self._window = window
         self._sent: deque[Chunk] = deque()
@@ -36,29 +36,30 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether as many bytes wait for credit as may."""
-        return self._unsent_bytes >= UNSENT_LIMIT
+        """Whether the unsent bytes have reached the limit."""
+        return self._unsent_bytes >= UNSENT_LIMIT_BYTES
 
     @property
     def is_sent(self) -> bool:
-        """Whether every piece was sent."""
+        """Whether every chunk has been sent."""
         return not self._unsent
 
     @property
     def held_bytes(self) -> int:
-        """Bytes kept."""
+        """Bytes of all buffered chunks, sent or not."""
         return self._sent_bytes + self._unsent_bytes
 
     def add(self, data: bytes, tokens: int) -> None:
-        """Add a piece."""
+        """Append a chunk."""
         self._unsent.append(Chunk(self._request_id, self.next_sequence, data, tokens))
         self._unsent_bytes += len(data)
         self.next_sequence += 1
 
     def take_sendable(self) -> list[Chunk]:
-        """Return the pieces that may be sent now, and count them as sent."""
+        """Return the chunks that fit the window, and mark them as sent."""
         taken: list[Chunk] = []
-        # A piece larger than the window still goes once nothing is under way, or it never would.
+        # A chunk larger than the window is sent once nothing is unacknowledged; otherwise it would
+        # never be sent.
         while self._unsent and (
             not self._sent or self._sent_bytes + len(self._unsent[0].data) <= self._window
         ):
@@ -69,23 +70,28 @@
             taken.append(chunk)
         return taken
 
-    def confirm(self, sequence: int, window: int) -> None:
-        """Forget the pieces before a sequence number; the entry takes so many bytes after it."""
+    def acknowledge(self, sequence: int, window: int) -> None:
+        """Discard the chunks before a sequence number and set the window.
+
+        Args:
+            sequence: The first sequence number that the entry has not received.
+            window: Bytes that may be sent without further acknowledgement.
+        """
         self._window = window
         while self._sent and self._sent[0].sequence < sequence:
             self._sent_bytes -= len(self._sent.popleft().data)
 
     def rewind(self, sequence: int, window: int) -> bool:
-        """Count everything from a sequence number on as not sent, for a new connection.
+        """Mark all chunks from a sequence number on as unsent, for a new connection.
 
         Returns:
-            Whether all of it is still kept.
+            Whether all of these chunks are still buffered.
         """
         first = self._sent or self._unsent
         oldest = first[0].sequence if first else self.next_sequence
         if not oldest <= sequence <= self.next_sequence:
             return False
-        self.confirm(sequence, window)
+        self.acknowledge(sequence, window)
         while self._sent:
             chunk = self._sent.pop()
             self._unsent.appendleft(chunk)
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/backend_client.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/backend_client.py
@@ -1,4 +1,8 @@
-"""Calls to the one backend server beside the agent, with every way to fail told apart."""
+"""HTTP client for the agent's backend server.
+
+Its errors say whether the server may have received the request, because that decides whether the
+request may be sent again.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 from ragwortwing_wire.messages import Header
 
-from .direct_network import DirectBackend
+from .direct_network import UntimedNetworkBackend
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
@@ -20,7 +24,7 @@
 
     from ragwortwing_runtime.settings import BackendSettings
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -34,28 +38,28 @@
         b"content-length",
     }
 )
-"""Headers of one connection, which are not passed on; the length is set anew."""
+"""Headers of a single connection, which are not forwarded. The content length is set anew."""
 
-RENEWAL_SHARE = 0.5
-"""Share of the silence allowed after which the deadline is moved on."""
+DEADLINE_RENEWAL_FRACTION = 0.5
+"""Fraction of the idle timeout that passes before the deadline is extended again."""
 
 SEND_STARTED = "http11.send_request_headers.started"
-"""Event of the HTTP library directly before the first byte of a request is written."""
+"""Trace event of httpcore directly before it writes the first byte of a request."""
 
 
 class CallFailure(StrEnum):
-    """Why a call gave no whole answer."""
+    """Why a call returned no complete response."""
 
     NOT_SENT = "not_sent"
     """No connection could be made, so no byte reached the backend server."""
     LOST = "lost"
     """The connection broke after the call may have been sent."""
     SILENT = "silent"
-    """No byte came for the timeout after the call may have been sent."""
+    """No byte arrived within the idle timeout after the call may have been sent."""
 
 
 class BackendCallError(Exception):
-    """A call gave no whole answer."""
+    """A call returned no complete response."""
 
     def __init__(self, failure: CallFailure) -> None:
         super().__init__(failure)
@@ -63,43 +67,43 @@
 
 
 class BackendAnswer:
-    """An answer as it comes in, with a watch over the server's silence."""
+    """A streaming response with an idle timeout."""
 
     def __init__(
-        self, response: httpcore.Response, scope: trio.CancelScope, silence: timedelta
+        self, response: httpcore.Response, scope: trio.CancelScope, idle_timeout: timedelta
     ) -> None:
         self.status = response.status
-        self.headers = _passed_on(response)
+        self.headers = _end_to_end_headers(response)
         self._response = response
         self._scope = scope
-        self._seconds = silence.total_seconds()
+        self._idle_timeout_seconds = idle_timeout.total_seconds()
         self._renew_at = 0.0
 
-    async def pieces(self) -> AsyncIterator[bytes]:
-        """Give the body's pieces as they come."""
+    async def iter_body(self) -> AsyncIterator[bytes]:
+        """Yield the chunks of the body as they arrive."""
         async for data in self._response.aiter_stream():
-            # Moving a deadline costs as much as reading a token, so it is moved now and then: a
-            # silent server is given up after one to one and a half times the silence allowed.
+            # Extending a deadline costs as much as reading a token, so it is not done for every
+            # chunk. A silent server therefore times out after 1 to 1.5 times the idle timeout.
             if trio.current_time() >= self._renew_at:
-                self.expect_more()
+                self.restart_idle_timeout()
             yield data
 
-    def expect_nothing(self) -> None:
-        """Let any time pass, because it is this side that does not read."""
+    def suspend_idle_timeout(self) -> None:
+        """Suspend the idle timeout while the agent itself does not read."""
         self._scope.deadline = math.inf
 
-    def expect_more(self) -> None:
-        """Count the server's silence from now on."""
+    def restart_idle_timeout(self) -> None:
+        """Restart the idle timeout from now."""
         now = trio.current_time()
-        self._scope.deadline = now + self._seconds * (1 + RENEWAL_SHARE)
-        self._renew_at = now + self._seconds * RENEWAL_SHARE
+        self._scope.deadline = now + self._idle_timeout_seconds * (1 + DEADLINE_RENEWAL_FRACTION)
+        self._renew_at = now + self._idle_timeout_seconds * DEADLINE_RENEWAL_FRACTION
 
 
 class BackendClient:
-    """Makes each call on a connection of its own.
+    """Makes each call on a new connection.
 
-    A kept connection that the server closes at the moment of the call would leave open whether an
-    order had run; and cancelling an answer closes its connection anyway.
+    If the server closed a reused connection at the moment of a call, the client could not tell
+    whether an order had run. Cancelling a response closes its connection anyway.
     """
 
     def __init__(self, settings: BackendSettings) -> None:
@@ -107,10 +111,10 @@
         self._connect_seconds = settings.connect_timeout.total_seconds()
         address = settings.address
         self._origin = httpcore.Origin(b"http", address.host.encode(), address.port)
-        self._network = DirectBackend()
+        self._network = UntimedNetworkBackend()
 
     async def aclose(self) -> None:
-        """Close what is kept between calls, which is nothing."""
+        """Do nothing: no connection outlives its call."""
 
     @asynccontextmanager
     async def call(
@@ -119,22 +123,22 @@
         path: str,
         headers: tuple[Header, ...],
         body: bytes,
-        silence: timedelta,
+        idle_timeout: timedelta,
         on_send: Callable[[], None],
     ) -> AsyncIterator[BackendAnswer]:
-        """Make one call, once, and give its answer; leaving early closes the connection.
+        """Send a request exactly once and yield its response; leaving early closes the connection.
 
         Args:
             method: The HTTP method.
             path: Path and query.
-            headers: End-to-end headers.
-            body: The whole body.
-            silence: How long the server may give no byte.
-            on_send: Called directly before the first byte is written; what it raises stops the call
-                before that.
+            headers: Request headers; hop-by-hop headers are dropped.
+            body: The complete body.
+            idle_timeout: How long the server may send nothing.
+            on_send: Called directly before the first byte is written. An exception that it raises
+                aborts the call before anything is written.
 
         Raises:
-            BackendCallError: No whole answer came.
+            BackendCallError: No complete response arrived.
         """
 
         async def trace(event: str, info: object) -> None:
@@ -142,9 +146,9 @@
                 on_send()
 
         extensions = {"timeout": {"connect": self._connect_seconds}, "trace": trace}
-        deadline = trio.current_time() + self._connect_seconds + silence.total_seconds()
-        # A pool looks at every connection that it has for each call and each end of one; as none is
-        # used twice, the call has its own without a pool.
+        deadline = trio.current_time() + self._connect_seconds + idle_timeout.total_seconds()
+        # A connection pool scans all its connections at the start and end of each call. Connections
+        # are not reused here, so the call opens its own without a pool.
         connection = httpcore.AsyncHTTPConnection(self._origin, network_backend=self._network)
         try:
             with trio.CancelScope(deadline=deadline) as scope:
@@ -155,7 +159,7 @@
                     content=body,
                     extensions=extensions,
                 ) as response:
-                    yield BackendAnswer(response, scope, silence)
+                    yield BackendAnswer(response, scope, idle_timeout)
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
             raise BackendCallError(CallFailure.NOT_SENT) from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
@@ -167,9 +171,9 @@
 
 
 def end_to_end(headers: tuple[Header, ...]) -> tuple[Header, ...]:
-    """Return the headers that are passed on."""
-    return tuple(each for each in headers if each.name.lower() not in HOP_HEADERS)
+    """Return the headers without the hop-by-hop ones."""
+    return tuple(each for each in headers if each.name.lower() not in HOP_BY_HOP_HEADERS)
 
 
-def _passed_on(response: httpcore.Response) -> tuple[Header, ...]:
+def _end_to_end_headers(response: httpcore.Response) -> tuple[Header, ...]:
     return end_to_end(tuple(Header(name.lower(), value) for name, value in response.headers))
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/calls.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/calls.py
@@ -1,4 +1,4 @@
-"""What a call to a backend server needs, and the registry of the ways to make one."""
+"""Registry of the functions that call each kind of backend server, and their shared types."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How a call ended."""
+    """Outcome and prompt token counts of a call."""
 
     outcome: Outcome
     prompt_tokens: int = 0
@@ -27,28 +27,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallTools:
-    """What calls share."""
+class CallContext:
+    """What a call function needs besides the request."""
 
     backend: BackendClient
     clock: Clock
     orders: OrderBook | None
-    """Claims the keys of orders; only beside a plain service."""
-    progressed: Callable[[AgentRequest, int], None]
-    """Told of the tokens of a request as they come."""
+    """Claims the idempotency keys of orders; None for a model engine."""
+    on_progress: Callable[[AgentRequest, int], None]
+    """Called with the number of new tokens as a request generates them."""
     tier_of: Callable[[AgentRequest], int]
+    """Returns the priority tier of a request."""
     traceparent: str
-    """Trace context of this hop, for the backend server."""
+    """Trace context header to send to the backend server."""
 
 
-Call = Callable[[AgentRequest, CallTools], Awaitable[CallResult]]
+Call = Callable[[AgentRequest, CallContext], Awaitable[CallResult]]
 CallT = TypeVar("CallT", bound=Call)
 
 calls_by_kind: dict[BackendKind, Call] = {}
 
 
-def calls(kind: BackendKind) -> Callable[[CallT], CallT]:
-    """Register how a kind of backend server is called."""
+def register_call(kind: BackendKind) -> Callable[[CallT], CallT]:
+    """Register the function that calls a kind of backend server."""
 
     def register(function: CallT) -> CallT:
         calls_by_kind[kind] = function
@@ -57,8 +58,11 @@
     return register
 
 
-async def wait_room(request: AgentRequest, answer: BackendAnswer) -> None:
-    """Stop to read an answer until its entry has taken enough of it."""
-    answer.expect_nothing()
-    await request.wait_room()
-    answer.expect_more()
+async def wait_for_space(request: AgentRequest, answer: BackendAnswer) -> None:
+    """Pause reading a response until its entry has received enough of it.
+
+    The idle timeout is suspended meanwhile: the backend server is not the one that is waited for.
+    """
+    answer.suspend_idle_timeout()
+    await request.wait_for_space()
+    answer.restart_idle_timeout()
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/direct_network.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/direct_network.py
@@ -1,7 +1,7 @@
-"""Network backend of the HTTP library that reads a socket without a timer for each read.
+"""Network backend for httpcore that reads from a socket without a timeout for each read.
 
-The library's own sets a timer around every read; with a read for each token of each stream that was
-a fifth of the agent's time. Here the one who makes the call watches over its silence.
+The backend of httpcore sets a timeout around every read. With one read for each token of each
+stream, this took a fifth of the agent's time. Here the caller enforces an idle timeout instead.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     from collections.abc import Iterable
 
 
-class DirectStream(httpcore.AsyncNetworkStream):
-    """One connection."""
+class UntimedStream(httpcore.AsyncNetworkStream):
+    """A TCP connection that ignores the timeouts of reads and writes."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
         self._socket = stream.socket
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read what is there, waiting for the first byte without a limit."""
+        """Read the available bytes, waiting for the first one without a timeout."""
         try:
             return await self._socket.recv(max_bytes)
         except (OSError, trio.ClosedResourceError) as error:
             raise httpcore.ReadError(str(error)) from error
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write all of a buffer."""
+        """Write the whole buffer, without a timeout."""
         try:
             await self._stream.send_all(buffer)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
@@ -47,16 +47,16 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Refuse: the backend server is on the same machine."""
+        """Fail: the backend server is on the same machine, so TLS is not supported."""
         raise NotImplementedError
 
     def get_extra_info(self, info: str) -> Any:
-        """Return the socket where it is asked for, else nothing."""
+        """Return the socket for `socket`, and None for any other key."""
         return self._socket if info == "socket" else None
 
 
-class DirectBackend(httpcore.AsyncNetworkBackend):
-    """Opens such connections."""
+class UntimedNetworkBackend(httpcore.AsyncNetworkBackend):
+    """Opens connections whose reads and writes have no timeout."""
 
     async def connect_tcp(
         self,
@@ -69,12 +69,12 @@
         """Connect within the timeout."""
         try:
             with trio.fail_after(float("inf") if timeout is None else timeout):
-                return DirectStream(await trio.open_tcp_stream(host, port))
+                return UntimedStream(await trio.open_tcp_stream(host, port))
         except trio.TooSlowError as error:
             raise httpcore.ConnectTimeout from error
         except OSError as error:
             raise httpcore.ConnectError(str(error)) from error
 
     async def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Sleep between connection attempts of httpcore."""
         await trio.sleep(seconds)
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/engine_admin.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/engine_admin.py
@@ -1,4 +1,8 @@
-"""Gives the engine its orders (what to load); this agent alone does, under its fencing number."""
+"""Sends the engine administrative orders, such as which model version to load.
+
+Orders carry this agent's fencing number, so that an agent that was replaced cannot change the
+engine.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,11 @@
 
 ORDERS_PATH = "/admin/orders"
 CHECK_INTERVAL = timedelta(seconds=1)
-ANSWER_SILENCE = timedelta(seconds=10)
+"""Time between two checks for orders that are due."""
+
+ORDER_IDLE_TIMEOUT = timedelta(seconds=10)
+"""Time without a byte from the engine after which an order counts as failed."""
+
 SUCCESS = 200
 CONFLICT = 409
 JSON_HEADERS = (Header(b"content-type", b"application/json"),)
@@ -42,13 +50,13 @@
 
 
 class EngineAdmin:
-    """Keeps the engine in the state that the configuration wants."""
+    """Brings the engine into the state that the configuration asks for."""
 
     def __init__(
         self,
         backend: BackendClient,
         log_client: Log,
-        source: ConfigurationFeed,
+        configuration_feed: ConfigurationFeed,
         targets: tuple[str, ...],
         clock: Clock,
         random: Random,
@@ -57,115 +65,124 @@
         """Create an admin.
 
         Args:
-            backend: The engine.
-            log_client: The platform's log.
-            source: The configuration in force.
+            backend: Client of the engine.
+            log_client: The platform's log, which assigns fencing numbers.
+            configuration_feed: Provides the configuration in force.
             targets: Models that the engine is to serve.
             clock: The process's clock.
-            random: Source of jitter.
-            interval: Time between two looks at what is due.
+            random: Source of jitter for retries.
+            interval: Time between two checks for orders that are due.
         """
         self.fencing_number: int | None = None
-        """Log offset of this agent's start record; None before the log has taken it."""
+        """Log offset of this agent's start record; None until the record is appended."""
         self._backend = backend
         self._log = log_client
-        self._source = source
+        self._configuration_feed = configuration_feed
         self._targets = targets
         self._clock = clock
         self._random = random
         self._interval = interval.total_seconds()
-        self._starts_read_to = 0
+        self._next_start_offset = 0
 
     async def run(self, agent_id: str, zone: str, on_superseded: Callable[[], None]) -> None:
-        """Give orders until a newer agent has taken this one's place.
+        """Send orders until a newer agent replaces this one.
 
         Args:
             agent_id: Name and incarnation of this agent.
             zone: Its availability zone.
-            on_superseded: Called when this agent was replaced.
+            on_superseded: Called when this agent has been replaced.
         """
         number = await take_fencing_number(self._log, self._clock, self._random, agent_id, zone)
         self.fencing_number = number
-        self._starts_read_to = number + 1
-        log.info("Fencing number taken", fencing_number=number)
+        self._next_start_offset = number + 1
+        log.info("Fencing number acquired", fencing_number=number)
         orders = EngineOrders(number)
         while orders.superseded is None:
-            await self._give_due(orders, agent_id)
+            await self._send_due_orders(orders, agent_id)
             await trio.sleep(self._interval)
-        log.warning("A newer agent took this one's place", newer=orders.superseded)
+        log.warning("Replaced by a newer agent", newer=orders.superseded)
         on_superseded()
 
-    async def _give_due(self, orders: EngineOrders, agent_id: str) -> None:
-        configuration = self._source.current
+    async def _send_due_orders(self, orders: EngineOrders, agent_id: str) -> None:
+        configuration = self._configuration_feed.current
         if configuration is None:
             return
         desired = desired_engine(configuration, self._targets)
         due = orders.due(desired, None, self._clock.monotonic())
         if not due:
             return
-        # An agent that was paused while it was replaced would go on to give orders, and an engine
-        # that ignores the number would take them. Its successor's start record shows it.
-        newer = await self._newer_start(agent_id)
+        # An agent that was suspended while it was replaced would otherwise resume sending orders,
+        # and an engine that ignores fencing numbers would accept them. The start record of the
+        # successor in the log reveals the replacement.
+        newer = await self._find_newer_start(agent_id)
         if newer is not None:
             orders.refused(newer)
             return
         for order in due:
-            await self._give(orders, order)
+            await self._send_order(orders, order)
 
-    async def _give(self, orders: EngineOrders, order: EngineOrder) -> None:
+    async def _send_order(self, orders: EngineOrders, order: EngineOrder) -> None:
         try:
             async with self._backend.call(
                 "POST",
                 ORDERS_PATH,
                 JSON_HEADERS,
                 msgspec.json.encode(order),
-                ANSWER_SILENCE,
+                ORDER_IDLE_TIMEOUT,
                 lambda: None,
             ) as answer:
-                body = b"".join([piece async for piece in answer.pieces()])
+                body = b"".join([chunk async for chunk in answer.iter_body()])
         except BackendCallError as error:
-            log.warning("Order not answered", kind=order.kind, failure=error.failure)
+            log.warning("Engine did not answer an order", kind=order.kind, failure=error.failure)
             orders.failed(order, self._clock.monotonic())
             return
         now = self._clock.monotonic()
         if answer.status == SUCCESS:
-            log.info("Order taken", kind=order.kind, target=order.target, version=order.version)
+            log.info(
+                "Engine accepted an order",
+                kind=order.kind,
+                target=order.target,
+                version=order.version,
+            )
             orders.taken(order, now)
-        elif answer.status == CONFLICT and orders.refused(_highest_number(body)) is not None:
+        elif (
+            answer.status == CONFLICT
+            and orders.refused(_fencing_number_in_refusal(body)) is not None
+        ):
             return
         else:
             orders.failed(order, now)
 
-    async def _newer_start(self, agent_id: str) -> int | None:
-        """Return the offset of a later start under this agent's name, if there is one."""
-        name = _name_of(agent_id)
+    async def _find_newer_start(self, agent_id: str) -> int | None:
+        """Return the offset of a later start record with this agent's name, or None."""
+        name = _agent_name(agent_id)
         while True:
-            page = await self._log.read(AGENT_STARTS_STREAM, self._starts_read_to)
+            page = await self._log.read(AGENT_STARTS_STREAM, self._next_start_offset)
             if isinstance(page, OffsetExpired):
-                self._starts_read_to = page.first_offset
+                self._next_start_offset = page.first_offset
                 continue
             if not isinstance(page, LogPage):
                 return None
-            self._starts_read_to += len(page.records)
+            self._next_start_offset += len(page.records)
             for record in page.records:
-                if _started_name(record.payload) == name:
+                if _name_in_start_record(record.payload) == name:
                     return record.offset
-            if self._starts_read_to >= page.next_offset:
+            if self._next_start_offset >= page.next_offset:
                 return None
 
 
-def _name_of(agent_id: str) -> str:
+def _agent_name(agent_id: str) -> str:
     return agent_id.rpartition("/")[0]
 
 
-def _started_name(payload: bytes) -> str:
+def _name_in_start_record(payload: bytes) -> str:
     try:
-        return _name_of(msgspec.json.decode(payload, type=AgentStart).agent_id)
+        return _agent_name(msgspec.json.decode(payload, type=AgentStart).agent_id)
     except msgspec.MsgspecError:
         return ""
 
 
-def _highest_number(body: bytes) -> int:
+def _fencing_number_in_refusal(body: bytes) -> int:
     try:
         return msgspec.json.decode(body, type=_Refusal).fencing_number
     except msgspec.MsgspecError:
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/engine_call.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/engine_call.py
@@ -1,4 +1,8 @@
-"""Calls to a model engine: the answer is relayed as it comes, and can be resumed after a cut."""
+"""Calls to a model engine.
+
+The response is relayed as it arrives. The text sent so far is recorded, so that an engine can
+resume the response after a preemption or a failure.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 from ragwortwing_wire.messages import Header
 
 from .backend_client import BackendAnswer, BackendCallError, CallFailure
-from .calls import CallResult, calls, wait_room
+from .calls import CallResult, register_call, wait_for_space
 from .event_stream import EventSplitter, Usage, count_tokens, read_usage
 from .whole_answer import assemble, can_stream
 
@@ -27,47 +31,47 @@
     from collections.abc import Awaitable, Callable
 
     from .agent_request import AgentRequest
-    from .calls import CallTools
+    from .calls import CallContext
 
-    Relay = Callable[[BackendAnswer, AgentRequest, CallTools], Awaitable[CallResult]]
+    Relay = Callable[[BackendAnswer, AgentRequest, CallContext], Awaitable[CallResult]]
 
-ENGINE_SILENCE = timedelta(seconds=10)
-"""Time without a byte after which an engine counts as lost."""
+ENGINE_IDLE_TIMEOUT = timedelta(seconds=10)
+"""Time without a byte after which an engine is considered lost."""
 
-WHOLE_ANSWER_SILENCE = timedelta(seconds=120)
-"""The same for an answer that is not streamed, of which nothing comes before its end."""
+WHOLE_ANSWER_IDLE_TIMEOUT = timedelta(seconds=120)
+"""Idle timeout for a response that is not streamed, which arrives only when it is complete."""
 
 SUCCESS = 200
 JSON_TYPE = Header(b"content-type", b"application/json")
-WHOLE_ANSWER_LIMIT = 8 * 1024 * 1024
-"""Bytes of an answer that is not streamed; a frame must be able to hold it."""
+MAX_WHOLE_ANSWER_BYTES = 8 * 1024 * 1024
+"""Maximum size of a response that is not streamed; it must fit into one frame."""
 
 
-@calls(BackendKind.ENGINE)
-async def call_engine(request: AgentRequest, tools: CallTools) -> CallResult:
-    """Run, or go on with, a request at the engine."""
+@register_call(BackendKind.ENGINE)
+async def call_engine(request: AgentRequest, context: CallContext) -> CallResult:
+    """Run a request at the engine, or resume it after the text generated so far."""
     submit = request.submit
     assert submit is not None
     body: dict[str, Any] = msgspec.json.decode(submit.body)
     relay = _choose_relay(body)
-    _add_extensions(body, request, tools)
+    _add_extensions(body, request, context)
     headers = (
         *submit.headers,
         Header(b"x-request-id", request.request_id.encode()),
-        Header(b"traceparent", tools.traceparent.encode()),
+        Header(b"traceparent", context.traceparent.encode()),
     )
-    silence = WHOLE_ANSWER_SILENCE if relay is _relay_whole else ENGINE_SILENCE
+    idle_timeout = WHOLE_ANSWER_IDLE_TIMEOUT if relay is _relay_whole else ENGINE_IDLE_TIMEOUT
 
     def note_sent() -> None:
         request.sent_to_backend = True
 
     try:
-        async with tools.backend.call(
-            submit.method, submit.path, headers, msgspec.json.encode(body), silence, note_sent
+        async with context.backend.call(
+            submit.method, submit.path, headers, msgspec.json.encode(body), idle_timeout, note_sent
         ) as answer:
             if answer.status != SUCCESS:
-                return await _relay_whole(answer, request, tools)
-            return await relay(answer, request, tools)
+                return await _relay_whole(answer, request, context)
+            return await relay(answer, request, context)
     except BackendCallError as error:
         return CallResult(_outcome_of(error.failure, request))
 
@@ -88,9 +92,9 @@
     return Failed(FailedReason.BACKEND_LOST)
 
 
-def _add_extensions(body: dict[str, Any], request: AgentRequest, tools: CallTools) -> None:
+def _add_extensions(body: dict[str, Any], request: AgentRequest, context: CallContext) -> None:
     assert request.submit is not None
-    body["priority"] = tools.tier_of(request)
+    body["priority"] = context.tier_of(request)
     text = request.submit.resume_text + request.text.text()
     if text:
         tokens = request.reserve.resumed_tokens + request.tokens
@@ -98,66 +102,66 @@
 
 
 async def _relay_events(
-    answer: BackendAnswer, request: AgentRequest, tools: CallTools
+    answer: BackendAnswer, request: AgentRequest, context: CallContext
 ) -> CallResult:
-    """Pass the events on as they come."""
+    """Relay the events as they arrive."""
     request.add_head(answer.status, answer.headers)
     splitter = EventSplitter()
-    async for data in answer.pieces():
+    async for data in answer.iter_body():
         events = splitter.feed(data)
         if not events:
             continue
         tokens = count_tokens(events)
         request.add_text(events, tokens)
-        request.add_piece(events, tokens)
-        tools.progressed(request, tokens)
+        request.add_chunk(events, tokens)
+        context.on_progress(request, tokens)
         if request.is_full:
-            await wait_room(request, answer)
-    # An engine that ends the connection in good order in mid-answer has not completed it; the event
-    # that ends a stream tells the two apart.
+            await wait_for_space(request, answer)
+    # An engine may close the connection cleanly before the response is complete. Only the final
+    # `[DONE]` event shows that it is complete.
     if not splitter.is_done:
         return CallResult(Failed(FailedReason.BACKEND_LOST))
     return _completed(request, splitter.usage())
 
 
 async def _relay_assembled(
-    answer: BackendAnswer, request: AgentRequest, tools: CallTools
+    answer: BackendAnswer, request: AgentRequest, context: CallContext
 ) -> CallResult:
-    """Put the events together and pass the whole answer on."""
+    """Assemble the streamed events into one response and send it when it is complete."""
     assert request.submit is not None
     splitter = EventSplitter()
-    async for data in answer.pieces():
+    async for data in answer.iter_body():
         events = splitter.feed(data)
         tokens = count_tokens(events)
         request.add_text(events, tokens)
-        tools.progressed(request, tokens)
+        context.on_progress(request, tokens)
     if not splitter.is_done:
         return CallResult(Failed(FailedReason.BACKEND_LOST))
     result = _completed(request, splitter.usage())
     text = request.submit.resume_text + request.text.text()
     request.add_head(SUCCESS, (JSON_TYPE,))
-    request.add_piece(assemble(splitter.last_events, text, splitter.usage()))
+    request.add_chunk(assemble(splitter.last_events, text, splitter.usage()))
     return result
 
 
 async def _relay_whole(
-    answer: BackendAnswer, request: AgentRequest, tools: CallTools
+    answer: BackendAnswer, request: AgentRequest, context: CallContext
 ) -> CallResult:
-    """Pass a whole answer on once it is there.
+    """Relay a response that is not streamed once it has arrived completely.
 
-    A preempted request runs anew, so that nothing of an earlier run may have been passed on.
+    A preempted request restarts from the beginning, so nothing may be sent before the end.
     """
     body = bytearray()
-    async for data in answer.pieces():
+    async for data in answer.iter_body():
         body += data
-        if len(body) > WHOLE_ANSWER_LIMIT:
+        if len(body) > MAX_WHOLE_ANSWER_BYTES:
             return CallResult(Failed(FailedReason.BACKEND_ERROR, answer.status))
     request.add_head(answer.status, answer.headers)
-    request.add_piece(bytes(body))
+    request.add_chunk(bytes(body))
     if answer.status != SUCCESS:
         return CallResult(Failed(FailedReason.BACKEND_ERROR, answer.status))
     usage = read_usage(bytes(body))
-    tools.progressed(request, usage.completion_tokens)
+    context.on_progress(request, usage.completion_tokens)
     return _completed(request, usage)
 
 
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/entry_peer.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/entry_peer.py
@@ -1,4 +1,4 @@
-"""The agent's side of one connection to an entry."""
+"""Sends the messages and response chunks for one connected entry."""
 
 from __future__ import annotations
 
@@ -19,53 +19,56 @@
 
 log = logbook.Logger("entry_peer")
 
-FRAME_BYTES = 1_048_576
-"""Bytes of pieces that go in one frame."""
+CHUNKS_FRAME_TARGET_BYTES = 1_048_576
+"""Payload size at which a frame of chunks is sent and the next one begun."""
 
 
 class EntryPeer:
-    """Sends an entry what its requests have ready, all of one pass of the loop in one frame."""
+    """Batches what the requests of an entry have ready, so that one frame carries many chunks."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
         self._messages: deque[Message] = deque()
         self._ready_by_id: dict[str, AgentRequest] = {}
-        self._work = trio.Event()
+        self._work_available = trio.Event()
         self._idle = trio.Event()
 
     @property
     def name(self) -> str:
-        """Name and incarnation of the entry."""
+        """Id of the entry: its name and incarnation."""
         return getattr(self.connection.peer, "entry_id", "")
 
     def post(self, message: Message) -> None:
-        """Send a message as soon as possible."""
+        """Queue a message for sending."""
         self._messages.append(message)
-        self._work.set()
+        self._work_available.set()
 
     def notify(self, request: AgentRequest) -> None:
-        """Look at what a request has ready."""
+        """Mark a request as having data to send."""
         self._ready_by_id[request.request_id] = request
-        self._work.set()
+        self._work_available.set()
 
     async def wait_idle(self) -> None:
-        """Wait until everything posted has been given to the transport."""
-        while self.connection.closed is None and (self._work.is_set() or self._ready_by_id):
+        """Wait until everything queued is flushed to the transport or the connection closes."""
+        while self.connection.closed is None and (
+            self._work_available.is_set() or self._ready_by_id
+        ):
             await self._idle.wait()
         if self.connection.closed is None:
             await self.connection.flush()
 
     async def pump(self) -> None:
-        """Send until the connection closes."""
+        """Send queued messages and chunks until the connection closes."""
         try:
             while True:
-                await self._work.wait()
-                # An engine's step makes the readers of all its streams runnable in one pass of the
-                # loop; letting that pass end puts what they read into one frame, with no delay.
+                await self._work_available.wait()
+                # One step of an engine makes the readers of all its streams runnable in the same
+                # pass of the event loop. Letting that pass finish batches their data into one frame
+                # without a delay.
                 await trio.lowlevel.checkpoint()
-                self._work = trio.Event()
+                self._work_available = trio.Event()
                 await self._send_ready()
-                if not self._work.is_set():
+                if not self._work_available.is_set():
                     self._idle.set()
                     self._idle = trio.Event()
         except ConnectionClosed as error:
@@ -94,12 +97,12 @@
         chunks: list[Chunk] = []
         size = 0
         for request in ready:
-            # A request that was attached to another connection meanwhile is sent there, and taking
-            # its pieces here would lose them.
+            # A request that was meanwhile attached to another connection is sent there. Taking its
+            # chunks here would lose them.
             for chunk in request.take_chunks() if request.peer is self else ():
                 chunks.append(chunk)
                 size += len(chunk.data)
-                if size >= FRAME_BYTES:
+                if size >= CHUNKS_FRAME_TARGET_BYTES:
                     await self.connection.send(Chunks(tuple(chunks)))
                     chunks, size = [], 0
         if chunks:
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/event_stream.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/event_stream.py
@@ -1,4 +1,7 @@
-"""Reads server-sent events only as far as the agent has to: whole events, and counts."""
+"""Minimal parsing of server-sent events: event boundaries, token counts and usage.
+
+The content of most events is not decoded.
+"""
 
 from __future__ import annotations
 
@@ -6,19 +9,19 @@
 
 EVENT_END = b"\n\n"
 DONE_EVENT = b"data: [DONE]\n\n"
-_DATA = b"data: "
+_DATA_PREFIX = b"data: "
 _CONTENT_KEYS = (b'"content":"', b'"content": "')
 _EMPTY_CONTENTS = (b'"content":""', b'"content": ""')
 
 
 class TokenDetails(msgspec.Struct, frozen=True):
-    """Where the prompt's tokens came from."""
+    """Details of the prompt token count."""
 
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """The engine's own count at the end of an answer."""
+    """Token counts that the engine reports at the end of a response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -33,9 +36,9 @@
 
 
 def count_tokens(events: bytes) -> int:
-    r"""Return how many events carry text, without reading them.
+    r"""Return how many events carry text, without decoding them.
 
-    A quote within a text is escaped in JSON, so no text can look like the key.
+    JSON escapes quotes within a text, so no text can contain the key that is searched for.
 
     Example:
         >>> count_tokens(b'data: {"choices":[{"delta":{"content":" a"}}]}\n\n')
@@ -48,10 +51,10 @@
 
 
 class EventSplitter:
-    r"""Cuts received bytes into whole events.
+    r"""Splits received bytes at event boundaries.
 
-    An engine that is lost or preempted within an event would leave half of one, to which the
-    resumed answer could not be joined; so half an event waits here for its rest.
+    An incomplete event is held back until the rest of it arrives. If it were relayed and the engine
+    were then lost or preempted, the resumed response could not be appended to it.
 
     Example:
         >>> splitter = EventSplitter()
@@ -65,34 +68,34 @@
 
     def __init__(self) -> None:
         self.is_done = False
-        """Whether the event that ends the stream has come."""
+        """Whether the `[DONE]` event has arrived."""
         self.last_events = b""
-        """The newest whole events."""
-        self._rest = b""
+        """The complete events that `feed` returned last."""
+        self._incomplete_event = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Add received bytes and return the whole events so far."""
-        if self._rest:
-            data = self._rest + data
-            self._rest = b""
+        """Add received bytes and return the events that are now complete."""
+        if self._incomplete_event:
+            data = self._incomplete_event + data
+            self._incomplete_event = b""
         if not data.endswith(EVENT_END):
             end = data.rfind(EVENT_END) + len(EVENT_END) if EVENT_END in data else 0
-            data, self._rest = data[:end], data[end:]
+            data, self._incomplete_event = data[:end], data[end:]
         if data:
             self.last_events = data
             self.is_done = self.is_done or data.endswith(DONE_EVENT)
         return data
 
     def usage(self) -> Usage:
-        """Return the count that the last events carry, zeros where there is none."""
+        """Return the usage in the last events, or zeros if they carry none."""
         for line in reversed(self.last_events.splitlines()):
-            if line.startswith(_DATA) and b'"usage"' in line:
-                return read_usage(line[len(_DATA) :])
+            if line.startswith(_DATA_PREFIX) and b'"usage"' in line:
+                return read_usage(line[len(_DATA_PREFIX) :])
         return Usage()
 
 
 def read_usage(body: bytes) -> Usage:
-    """Return the count in an event or in a whole answer, zeros where there is none."""
+    """Return the usage in an event or a complete response, or zeros if it carries none."""
     try:
         return _usage_decoder.decode(body).usage or Usage()
     except msgspec.MsgspecError:
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/process.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/process.py
@@ -1,4 +1,4 @@
-"""Puts an agent together from its settings."""
+"""Builds an agent from its settings and runs it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def run_agent(settings: AgentSettings) -> int:
-    """Run the agent of some settings and return its exit code."""
+    """Run an agent with these settings and return its exit code."""
     clock = SystemClock()
     random = Random()
     agent_id = new_agent_id(settings.name)
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/request_gate.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/request_gate.py
@@ -1,4 +1,4 @@
-"""The gate of the backend server: every request passes it, and the scheduler decides when."""
+"""Admission to the backend server: the scheduler decides when each request runs."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from . import engine_call, service_call  # noqa: F401
 from .agent_metrics import AgentMetrics
 from .agent_request import AgentRequest
-from .calls import CallResult, CallTools, calls_by_kind
+from .calls import CallContext, CallResult, calls_by_kind
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -57,11 +57,14 @@
 log = logbook.Logger("gate")
 
 UNCONFIGURED_RETRY_AFTER = timedelta(seconds=1)
-LOWEST_PRIORITY = 15
+"""Retry delay in refusals that are sent before the first configuration arrives."""
+
+LOWEST_PRIORITY_TIER = 15
+"""Tier of a request whose class is not in the configuration."""
 
 
 class RequestGate(MessageHandlers):
-    """Holds the requests of one backend server and carries out what the scheduler decides."""
+    """Holds the requests of one backend server and executes the scheduler's decisions."""
 
     def __init__(
         self,
@@ -82,18 +85,18 @@
         self._scheduler: Scheduler | None = None
         self._nursery: trio.Nursery | None = None
         self._metrics = AgentMetrics(telemetry.meter)
-        self._metrics.watch(self)
+        self._metrics.register_gauges(self)
         self._settled = trio.Event()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Own the calls to the backend server until cancelled."""
+        """Run the nursery of the backend calls until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             await trio.sleep_forever()
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a configuration into force."""
+        """Apply a configuration; the first one creates the scheduler."""
         self._configuration = configuration
         if self._scheduler is not None:
             self._execute(self._scheduler.configure(configuration, self._now))
@@ -103,18 +106,18 @@
         self._scheduler = Scheduler(limits, configuration, Random())
 
     def load(self) -> LoadReport:
-        """Return the gate's own counts."""
+        """Return the current load and concurrency limit."""
         if self._scheduler is None:
             limit = self._settings.backend.initial_concurrency
             return LoadReport(0, 0, limit, timedelta(0), self.draining)
         return self._scheduler.load(self._now)
 
     def held_bytes(self) -> int:
-        """Return the bytes of answers that are kept for entries."""
+        """Return the bytes of all buffered responses."""
         return sum(each.held_bytes for each in self.requests_by_id.values())
 
     def tick(self) -> None:
-        """Let the scheduler act on time passed, and forget answers that nobody fetches."""
+        """Run the scheduler's timeouts, and drop requests past the reattach limit."""
         if self._scheduler is not None:
             self._execute(self._scheduler.tick(self._now))
         keep_since = self._now - self._settings.connections.reattach_limit.total_seconds()
@@ -123,21 +126,21 @@
                 self._drop(request)
             elif request.lost_at is not None and request.lost_at <= keep_since:
                 self._abandon(request)
-        self._announce_settled()
+        self._notify_settled()
 
     def drain(self) -> None:
-        """Hand back what is queued and grant nothing new."""
+        """Refuse queued requests and grant no more slots."""
         self.draining = True
         if self._scheduler is not None:
             self._execute(self._scheduler.drain(self._now))
 
     async def wait_finished(self) -> None:
-        """Wait until nothing runs and every outcome was sent."""
+        """Wait until no request is running and every outcome has been sent."""
         while any(each.is_unfinished for each in self.requests_by_id.values()):
             await self._settled.wait()
 
     def connection_lost(self, peer: EntryPeer) -> None:
-        """Forget what waits for a lost connection; keep what runs, to be fetched on a new one."""
+        """Drop waiting requests of a lost connection; running ones may be attached to another."""
         for request in list(self.requests_by_id.values()):
             if request.peer is not peer:
                 continue
@@ -145,11 +148,11 @@
             request.lost_at = self._now
             if request.state in ("queued", "granted"):
                 self._abandon(request)
-        self._announce_settled()
+        self._notify_settled()
 
     @on(Reserve)
     def on_reserve(self, message: Reserve, peer: EntryPeer) -> None:
-        """Queue a reservation, or refuse it."""
+        """Offer a reservation to the scheduler, or refuse it."""
         known = self.requests_by_id.get(message.request_id)
         if known is not None and known.state != "ended":
             if known.peer is not peer:
@@ -165,41 +168,41 @@
 
     @on(Withdraw)
     def on_withdraw(self, message: Withdraw, peer: EntryPeer) -> None:
-        """Forget a reservation, or stop the work at once."""
+        """Cancel a reservation or a running request."""
         request = self._request_of(message.request_id, peer)
         if request is not None:
             self._abandon(request)
 
     @on(Submit)
     def on_submit(self, message: Submit, peer: EntryPeer) -> None:
-        """Start a request whose slot is held."""
+        """Start a request that holds a granted slot."""
         request = self._request_of(message.request_id, peer)
         if request is not None and request.state not in ("queued", "granted"):
             return
         if request is None or not self._take_slot(request):
-            # The grant expired, or was lost with an earlier connection; the body is thrown away
-            # here, so the request has truly not run.
+            # The grant expired or was lost with an earlier connection. The body is discarded here,
+            # so the request has certainly not run.
             if request is not None:
                 self._abandon(request)
             peer.post(End(message.request_id, 0, NotRun(NotRunReason.OVERLOADED)))
             return
-        request.take_body(message)
+        request.accept_submit(message)
         request.advance("submit")
         self._start(request)
 
     @on(Credit)
     def on_credit(self, message: Credit, peer: EntryPeer) -> None:
-        """Let a request send more."""
+        """Acknowledge chunks of a response and extend its send window."""
         request = self._request_of(message.request_id, peer)
         if request is not None:
-            request.confirm(message.sequence, message.window)
+            request.acknowledge(message.sequence, message.window)
 
     @on(Attach)
     def on_attach(self, message: Attach, peer: EntryPeer) -> None:
-        """Go on with a request on a new connection, for the account that asked for it."""
+        """Continue a request on a new connection, if the account is the one that made it."""
         request = self.requests_by_id.get(message.request_id)
-        # A request id that is guessed, or confused, must not give one account another's answer; to
-        # any other account the request does not exist.
+        # A guessed or mixed-up request id must not give one account another account's response.
+        # Other accounts get the same reply as for a request that does not exist.
         if request is None or request.reserve.account != message.account:
             peer.post(Detached(message.request_id))
             return
@@ -208,8 +211,8 @@
 
     def _request_of(self, request_id: str, peer: EntryPeer) -> AgentRequest | None:
         request = self.requests_by_id.get(request_id)
-        # What a connection that was given up still delivers late must not touch a request that
-        # goes on at another.
+        # Late messages of an abandoned connection must not affect a request that has continued on
+        # another connection.
         return request if request is not None and request.peer is peer else None
 
     def _reservation(self, message: Reserve) -> Reservation:
@@ -268,23 +271,23 @@
         self._drop(request)
 
     def _preempt(self, request: AgentRequest) -> None:
-        if request.state == "running" and request.scope is not None:
+        if request.state == "running" and request.cancel_scope is not None:
             request.advance("preempt")
-            request.scope.cancel()
+            request.cancel_scope.cancel()
 
     def _abandon(self, request: AgentRequest) -> None:
-        """Stop what nobody waits for any more."""
-        if self._must_run_on(request):
+        """Cancel a request that no entry waits for, unless it must run to its end."""
+        if self._must_not_cancel(request):
             return
         running = request.state in ("running", "preempting")
         self._drop(request)
-        if running and request.scope is not None:
-            request.scope.cancel()
+        if running and request.cancel_scope is not None:
+            request.cancel_scope.cancel()
         elif self._scheduler is not None:
             self._execute(self._scheduler.withdraw(request.request_id, self._now))
 
-    def _must_run_on(self, request: AgentRequest) -> bool:
-        # An order that was sent cannot be called back, and its outcome is still to be recorded.
+    def _must_not_cancel(self, request: AgentRequest) -> bool:
+        # An order that was sent cannot be undone, and its outcome still has to be recorded.
         return request.has_begun and request.sent_to_backend and not request.reserve.idempotent
 
     def _drop(self, request: AgentRequest) -> None:
@@ -309,39 +312,39 @@
         self._call_returned(request, result)
 
     async def _call(self, request: AgentRequest, traceparent: str) -> CallResult | None:
-        """Make the call; None where it was cancelled."""
-        tools = CallTools(
+        """Make the call and return its result, or None if it was cancelled."""
+        context = CallContext(
             backend=self._backend,
             clock=self._clock,
             orders=self._orders,
-            progressed=self._progressed,
+            on_progress=self._report_progress,
             tier_of=self._tier_of,
             traceparent=traceparent,
         )
         with trio.CancelScope() as scope:
-            request.scope = scope
+            request.cancel_scope = scope
             if request.state != "running":
                 scope.cancel()
-            return await calls_by_kind[self._settings.backend.kind](request, tools)
+            return await calls_by_kind[self._settings.backend.kind](request, context)
         return None
 
     def _call_returned(self, request: AgentRequest, result: CallResult | None) -> None:
         assert self._scheduler is not None
         now = self._now
-        request.scope = None
+        request.cancel_scope = None
         if result is None and request.state == "preempting":
             request.advance("let_go")
             log.info("Preempted", tokens=request.tokens)
-            self._metrics.preempted(request)
+            self._metrics.record_preempted(request)
             self._execute(self._scheduler.preempted(request.request_id, now))
             return
         if result is not None and request.state != "dropped":
             request.end(result.outcome, now, result.prompt_tokens, result.cached_tokens)
-            self._metrics.ended(request, result.outcome)
+            self._metrics.record_ended(request, result.outcome)
             log.info("Request ended", outcome=result.outcome.kind, tokens=request.tokens)
         self._execute(self._scheduler.finished(request.request_id, now))
 
-    def _progressed(self, request: AgentRequest, tokens: int) -> None:
+    def _report_progress(self, request: AgentRequest, tokens: int) -> None:
         if self._scheduler is not None and tokens:
             self._scheduler.progressed(request.request_id, tokens, self._now)
 
@@ -349,14 +352,14 @@
         name = request.reserve.request_class
         configuration = self._configuration
         if configuration is None or name not in configuration.classes_by_name:
-            return LOWEST_PRIORITY
+            return LOWEST_PRIORITY_TIER
         return configuration.class_in_force(name).tier
 
     def _post(self, request: AgentRequest, message: Message) -> None:
         if request.peer is not None:
             request.peer.post(message)
 
-    def _announce_settled(self) -> None:
+    def _notify_settled(self) -> None:
         self._settled.set()
         self._settled = trio.Event()
 
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/service_call.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/service_call.py
@@ -1,4 +1,8 @@
-"""Calls to a plain service: one call each, and an order with a key only under its own claim."""
+"""Calls to a plain service.
+
+Each call is sent once. An order with an idempotency key is sent only after this agent has won the
+claim of the key.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +28,7 @@
 from ragwortwing_wire.messages import Header
 
 from .backend_client import BackendCallError, CallFailure
-from .calls import CallResult, calls, wait_room
+from .calls import CallResult, register_call, wait_for_space
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -32,19 +36,19 @@
     from ragwortwing_runtime.order_book import OrderBook
 
     from .agent_request import AgentRequest
-    from .calls import CallTools
+    from .calls import CallContext
 
-ANSWER_SILENCE = timedelta(seconds=60)
-"""Time without a byte after which a service is not waited for; its outcome is then unknown."""
+SERVICE_IDLE_TIMEOUT = timedelta(seconds=60)
+"""Time without a byte after which a call is given up; its outcome is then unknown."""
 
 SERVER_ERROR = 500
 
 ANSWER_HEADER = b"x-ragwortwing-answer"
-"""Says `not-recorded` where a repeat of a key gets the outcome without the answer's body."""
+"""Set to `not-recorded` if a repeated key gets the outcome without the complete response body."""
 
 
 class SendForbiddenError(Exception):
-    """The claim of an order no longer allows to write it."""
+    """The claim of an order no longer permits sending it."""
 
     def __init__(self, refusal: NotRun) -> None:
         super().__init__(refusal.reason)
@@ -52,40 +56,42 @@
 
 
 @dataclass(slots=True)
-class _KeptAnswer:
-    """What is kept of an answer, to be recorded with its outcome."""
+class _CapturedAnswer:
+    """The part of a response that is recorded with its outcome."""
 
     status: int = 0
     body: bytes = b""
     content_type: str = ""
 
 
-@calls(BackendKind.SERVICE)
-async def call_service(request: AgentRequest, tools: CallTools) -> CallResult:
-    """Make the call; where it is an order, at most once."""
+@register_call(BackendKind.SERVICE)
+async def call_service(request: AgentRequest, context: CallContext) -> CallResult:
+    """Make the call. An order with an idempotency key is sent at most once."""
     if not request.reserve.order_key:
-        return CallResult(await _send(request, tools, _KeptAnswer(), lambda: None))
-    if tools.orders is None:
+        return CallResult(await _send(request, context, _CapturedAnswer(), lambda: None))
+    if context.orders is None:
         return CallResult(NotRun(NotRunReason.LOG_UNAVAILABLE))
-    return CallResult(await _send_claimed(request, tools, tools.orders))
+    return CallResult(await _claim_and_send(request, context, context.orders))
 
 
-async def _send_claimed(request: AgentRequest, tools: CallTools, orders: OrderBook) -> Outcome:
+async def _claim_and_send(
+    request: AgentRequest, context: CallContext, orders: OrderBook
+) -> Outcome:
     reserve = request.reserve
     order = KeyedOrder(reserve.account, reserve.order_key, reserve.body_digest, reserve.order_time)
     claim = await orders.claim(order, request.reservation.deadline)
     match claim:
         case WonClaim():
-            return await _send_won(request, tools, orders, claim)
+            return await _send_with_claim(request, context, orders, claim)
         case AlreadySettled(recorded):
-            _give_again(request, recorded)
+            _replay_recorded_answer(request, recorded)
             return recorded.outcome
         case _:
             return claim
 
 
-def _give_again(request: AgentRequest, recorded: RecordedAnswer) -> None:
-    """Give a repeat of a key the answer of the first submission, or say that it is not kept."""
+def _replay_recorded_answer(request: AgentRequest, recorded: RecordedAnswer) -> None:
+    """Send the recorded response to a repeated key; a header says if its body is incomplete."""
     if not recorded.status:
         return
     headers = []
@@ -94,45 +100,48 @@
     if not recorded.is_whole:
         headers.append(Header(ANSWER_HEADER, b"not-recorded"))
     request.add_head(recorded.status, tuple(headers))
-    request.add_piece(recorded.answer)
+    request.add_chunk(recorded.answer)
 
 
-async def _send_won(
-    request: AgentRequest, tools: CallTools, orders: OrderBook, won: WonClaim
+async def _send_with_claim(
+    request: AgentRequest, context: CallContext, orders: OrderBook, claim: WonClaim
 ) -> Outcome:
-    kept = _KeptAnswer()
+    captured = _CapturedAnswer()
 
     def begin_send() -> None:
-        refusal = orders.begin_send(won)
+        refusal = orders.begin_send(claim)
         if refusal is not None:
             raise SendForbiddenError(refusal)
 
     try:
-        outcome = await _send(request, tools, kept, begin_send)
+        outcome = await _send(request, context, captured, begin_send)
     except SendForbiddenError as error:
         return error.refusal
     except trio.Cancelled:
-        # Withdrawn, or the process is stopped: before the write the key is free again, after it
-        # nobody can say whether the order ran.
-        if not orders.release(won):
-            orders.record(won, Unknown(UnknownReason.BACKEND_LOST))
+        # The request was withdrawn or the process is stopping. Before the first byte was written,
+        # the key can be released; afterwards it is unknown whether the order ran.
+        if not orders.release(claim):
+            orders.record(claim, Unknown(UnknownReason.BACKEND_LOST))
         raise
     if request.sent_to_backend:
-        orders.record(won, outcome, kept.status, kept.body, kept.content_type)
+        orders.record(claim, outcome, captured.status, captured.body, captured.content_type)
     else:
-        orders.release(won, NotRunReason.NO_BACKEND)
+        orders.release(claim, NotRunReason.NO_BACKEND)
     return outcome
 
 
 async def _send(
-    request: AgentRequest, tools: CallTools, kept: _KeptAnswer, before_write: Callable[[], None]
+    request: AgentRequest,
+    context: CallContext,
+    captured: _CapturedAnswer,
+    before_write: Callable[[], None],
 ) -> Outcome:
     submit = request.submit
     assert submit is not None
     headers = (
         *submit.headers,
         Header(b"x-request-id", request.request_id.encode()),
-        Header(b"traceparent", tools.traceparent.encode()),
+        Header(b"traceparent", context.traceparent.encode()),
     )
 
     def on_send() -> None:
@@ -140,21 +149,21 @@
         request.sent_to_backend = True
 
     try:
-        async with tools.backend.call(
-            submit.method, submit.path, headers, submit.body, ANSWER_SILENCE, on_send
+        async with context.backend.call(
+            submit.method, submit.path, headers, submit.body, SERVICE_IDLE_TIMEOUT, on_send
         ) as answer:
-            kept.status = answer.status
-            kept.content_type = _content_type(answer.headers)
+            captured.status = answer.status
+            captured.content_type = _content_type(answer.headers)
             request.add_head(answer.status, answer.headers)
-            async for data in answer.pieces():
-                request.add_piece(data)
-                kept.body = (kept.body + data)[: ANSWER_LIMIT_BYTES + 1]
+            async for data in answer.iter_body():
+                request.add_chunk(data)
+                captured.body = (captured.body + data)[: ANSWER_LIMIT_BYTES + 1]
                 if request.is_full:
-                    await wait_room(request, answer)
+                    await wait_for_space(request, answer)
     except BackendCallError as error:
         return _outcome_of(error.failure, request)
-    if kept.status >= SERVER_ERROR:
-        return Failed(FailedReason.BACKEND_ERROR, kept.status)
+    if captured.status >= SERVER_ERROR:
+        return Failed(FailedReason.BACKEND_ERROR, captured.status)
     return Completed()
 
 
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/status_server.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/status_server.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP address for operators: status, drain, metrics, health."""
+"""HTTP server for operators: status, drain, metrics and health checks."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
     from ragwortwing_runtime.settings_reader import Address
 
 JSON_TYPE = "application/json"
-CLOSE_SECONDS = 0.2
+SHUTDOWN_GRACE_SECONDS = 0.2
+"""Time for open responses to finish when the server closes."""
 
 
 class StatusSource(Protocol):
-    """What the server tells and asks of the agent."""
+    """The part of the agent that the status server needs."""
 
     def status(self) -> dict[str, object]:
-        """Return what the agent does now."""
+        """Return the current state of the agent."""
         ...
 
     def begin_drain(self) -> None:
-        """Ask for a planned stop."""
+        """Start a graceful stop."""
         ...
 
     def metrics_text(self) -> bytes:
-        """Return the metrics."""
+        """Return the metrics in the Prometheus text format."""
         ...
 
     @property
     def is_ready(self) -> bool:
-        """Whether new work is taken."""
+        """Whether the agent accepts new requests."""
         ...
 
 
@@ -46,13 +47,13 @@
 
 
 class StatusApplication:
-    """ASGI application over the agent."""
+    """ASGI application that serves the operator endpoints."""
 
     def __init__(self, source: StatusSource) -> None:
         self._source = source
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle one ASGI scope."""
         if scope["type"] == "lifespan":
             await _acknowledge_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -80,7 +81,7 @@
 
 
 class StatusServer:
-    """Serves the agent's status until it is closed."""
+    """Runs the status application in an HTTP server until it is closed."""
 
     def __init__(self, source: StatusSource, address: Address) -> None:
         self._application = StatusApplication(source)
@@ -90,12 +91,12 @@
         self._closed.set()
 
     async def run(self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve; the `ip:port` is told once it listens."""
+        """Serve until closed; reports the bound `ip:port` through `task_status`."""
         self._closed = trio.Event()
         config = Config()
         config.bind = [str(self._address)]
         config.include_server_header = False
-        config.graceful_timeout = CLOSE_SECONDS
+        config.graceful_timeout = SHUTDOWN_GRACE_SECONDS
         config.errorlog = None
         config.accesslog = None
         try:
@@ -114,13 +115,13 @@
             self._closed.set()
 
     async def close(self) -> None:
-        """Let the answers under way end, the one to `drain` among them, and stop."""
+        """Stop the server after open responses, such as the one to `/drain`, have finished."""
         self._closing.set()
         await self._closed.wait()
 
 
 async def _acknowledge_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop; the application object has its own life cycle."""
+    """Acknowledge the ASGI lifespan events; the application needs no startup or shutdown steps."""
     while True:
         message = await receive()
         await send({"type": f"{message['type']}.complete"})
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/whole_answer.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/whole_answer.py
@@ -1,4 +1,8 @@
-"""Whole answers put together from a stream, so that they too can be preempted and resumed."""
+"""Assembles complete chat completions from a stream of events.
+
+Requests without streaming are streamed from the engine as well where possible, so that they can be
+preempted and resumed.
+"""
 
 from __future__ import annotations
 
@@ -24,9 +28,13 @@
         "frequency_penalty",
     }
 )
-"""Keys of a body whose answer is one text; any other may add what a text does not hold."""
+"""Request keys with which the response is a single text.
+
+Any other key may add to the response something that the text does not contain, such as
+log probabilities.
+"""
 
-_DATA = b"data: {"
+_JSON_DATA_PREFIX = b"data: {"
 
 
 class _Choice(msgspec.Struct):
@@ -44,19 +52,23 @@
 
 
 def can_stream(body: dict[str, Any]) -> bool:
-    """Return whether a whole answer to this body can be put together from a stream."""
+    """Return whether a complete response to this body can be assembled from a stream."""
     return body.keys() <= STREAMABLE_KEYS
 
 
 def assemble(last_events: bytes, text: str, usage: Usage) -> bytes:
-    """Return the whole answer to a chat completion.
+    """Return the body of a complete chat completion.
 
     Args:
         last_events: The events that ended the stream.
-        text: The whole text.
-        usage: The engine's count.
+        text: The complete text.
+        usage: Token counts that the engine reported.
     """
-    events = [_read(line) for line in last_events.split(EVENT_END) if line.startswith(_DATA)]
+    events = [
+        _decode_event(line)
+        for line in last_events.split(EVENT_END)
+        if line.startswith(_JSON_DATA_PREFIX)
+    ]
     last = events[-1] if events else _Event()
     reasons = [choice.finish_reason for event in events for choice in event.choices]
     message = {"role": "assistant", "content": text}
@@ -77,8 +89,8 @@
     return msgspec.json.encode(answer)
 
 
-def _read(line: bytes) -> _Event:
+def _decode_event(line: bytes) -> _Event:
     try:
-        return _decoder.decode(line[len(_DATA) - 1 :])
+        return _decoder.decode(line[len(_JSON_DATA_PREFIX) - 1 :])
     except msgspec.MsgspecError:
         return _Event()
--- a/packages/ragwortwing-agent/tests/test_engine_admin.py
+++ b/packages/ragwortwing-agent/tests/test_engine_admin.py
@@ -1,4 +1,4 @@
-"""Orders to the engine: only from the present agent, which is told apart by its fencing number."""
+"""Orders to the engine come only from the current agent, identified by its fencing number."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 from ragwortwing_policy.configuration import Model
 from ragwortwing_runtime.system_clock import SystemClock
 
-SOURCE = FixedSource(replace(CONFIGURATION, models_by_name={MODEL: Model(MODEL, version="7")}))
+CONFIGURATION_FEED = FixedSource(
+    replace(CONFIGURATION, models_by_name={MODEL: Model(MODEL, version="7")})
+)
 
 
-class PausableClock(SystemClock):
-    """A clock that a test moves on, as a stopped process sees it."""
+class AdjustableClock(SystemClock):
+    """A clock that a test sets forward, as a process sees it after a suspension."""
 
-    pause = 0.0
+    offset_seconds = 0.0
 
     def monotonic(self) -> float:
-        return super().monotonic() + self.pause
+        return super().monotonic() + self.offset_seconds
 
 
 @asynccontextmanager
@@ -41,10 +43,12 @@
         backend = BackendClient(agent_settings(address, "engine").backend)
         platform = StoreServices(log_address)
 
-        def start_admin(agent_id: str) -> tuple[PausableClock, trio.Event]:
-            clock, superseded = PausableClock(), trio.Event()
+        def start_admin(agent_id: str) -> tuple[AdjustableClock, trio.Event]:
+            clock, superseded = AdjustableClock(), trio.Event()
             interval = timedelta(milliseconds=5)
-            admin = EngineAdmin(backend, platform.log, SOURCE, (MODEL,), clock, Random(1), interval)
+            admin = EngineAdmin(
+                backend, platform.log, CONFIGURATION_FEED, (MODEL,), clock, Random(1), interval
+            )
             nursery.start_soon(admin.run, agent_id, "suva", superseded.set)
             return clock, superseded
 
@@ -53,25 +57,26 @@
         platform.close()
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     with trio.fail_after(LIMIT):
         while not condition():
             await trio.sleep(0.002)
 
 
 @pytest.mark.parametrize("fencing", [True, False])
-async def test_replaced_agent_gives_no_more_orders(fencing: bool) -> None:
-    """An agent's VM stands still; a new one takes its place; the old one goes on.
+async def test_replaced_agent_sends_no_more_orders(fencing: bool) -> None:
+    """Guards against orders from an agent that was replaced while its VM was suspended.
 
-    It is due to give its orders again. An engine that checks the number would refuse them, one that
-    ignores it would take them; the old agent finds its successor's start record and gives none.
+    After the suspension the old agent is due to send its orders again. An engine that checks
+    fencing numbers would refuse them; one that ignores them would accept them. The old agent must
+    find the start record of its successor and send none.
     """
     async with engine_and_log(fencing) as (engine, _, start_admin):
         clock, superseded = start_admin("agent-1/old")
-        await until(lambda: len(engine.orders) == 1)
+        await wait_until(lambda: len(engine.orders) == 1)
         start_admin("agent-1/new")
-        await until(lambda: len(engine.orders) == 2)
-        clock.pause = 1_000.0
+        await wait_until(lambda: len(engine.orders) == 2)
+        clock.offset_seconds = 1_000.0
         with trio.fail_after(LIMIT):
             await superseded.wait()
     numbers = [each.fencing_number for each in engine.orders]
@@ -79,37 +84,37 @@
     assert engine.orders[0].version == "7"
 
 
-async def test_agents_of_other_engines_do_not_supersede() -> None:
+async def test_agent_with_another_name_does_not_supersede() -> None:
     async with engine_and_log(True) as (engine, _, start_admin):
         clock, superseded = start_admin("agent-1/0")
-        await until(lambda: len(engine.orders) == 1)
+        await wait_until(lambda: len(engine.orders) == 1)
         start_admin("agent-2/0")
-        await until(lambda: len(engine.orders) == 2)
+        await wait_until(lambda: len(engine.orders) == 2)
         engine._highest_fencing_number = -1
-        clock.pause = 1_000.0
-        await until(lambda: len(engine.orders) == 3)
+        clock.offset_seconds = 1_000.0
+        await wait_until(lambda: len(engine.orders) == 3)
         assert not superseded.is_set()
 
 
-async def test_no_order_without_a_number() -> None:
-    """The log is down when the agent starts: without a number it gives no order."""
+async def test_no_order_is_sent_without_fencing_number() -> None:
+    """Guards against orders without a fencing number if the log is down when the agent starts."""
     async with engine_and_log(True) as (engine, log, start_admin):
         log.faults.set(Fault(FaultKind.OUTAGE))
         start_admin("agent-1/0")
-        await until(lambda: log.counts["refused_outage"] >= 2)
+        await wait_until(lambda: log.counts["refused_outage"] >= 2)
         assert engine.orders == []
         log.faults.clear()
-        await until(lambda: len(engine.orders) == 1)
+        await wait_until(lambda: len(engine.orders) == 1)
 
 
-async def test_order_whose_reply_was_lost_is_given_again() -> None:
+async def test_order_with_lost_reply_is_sent_again() -> None:
     async with engine_and_log(True) as (engine, _, start_admin):
         engine.faults.set(Fault(FaultKind.DROP_REPLIES))
         clock, _ = start_admin("agent-1/0")
 
-        def given_again() -> bool:
-            clock.pause += 1.0
+        def was_sent_again() -> bool:
+            clock.offset_seconds += 1.0
             return len(engine.orders) >= 2
 
-        await until(given_again)
+        await wait_until(was_sent_again)
     assert engine.orders[0] == engine.orders[1]
--- a/packages/ragwortwing-agent/tests/test_entry_peer.py
+++ b/packages/ragwortwing-agent/tests/test_entry_peer.py
@@ -1,4 +1,4 @@
-"""What leaves for an entry in one frame."""
+"""Batching of response chunks into frames for an entry."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ragwortwing_wire.messages import Chunks, End, Reserve, ResponseHead, Submit
 
 
-class Recorder:
+class RecordingConnection:
     closed = None
 
     def __init__(self) -> None:
@@ -28,19 +28,19 @@
     reserve = Reserve(request_id, "chat", "acc", "m", timedelta(seconds=1))
     request = AgentRequest(reserve, Reservation(request_id, "chat", "acc", "m", 1.0), peer)
     request.advance("grant")
-    request.take_body(Submit(request_id, "POST", "/", (), b"", window=100))
+    request.accept_submit(Submit(request_id, "POST", "/", (), b"", window=100))
     request.advance("submit")
     return request
 
 
-async def test_step_of_an_engine_leaves_in_one_frame() -> None:
-    connection = Recorder()
+async def test_chunks_of_one_engine_step_share_a_frame() -> None:
+    connection = RecordingConnection()
     peer = EntryPeer(connection)
     requests = [running_request(str(index), peer) for index in range(5)]
 
     async def read_step(request: AgentRequest) -> None:
         request.add_head(200, ())
-        request.add_piece(b"x", 1)
+        request.add_chunk(b"x", 1)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(peer.pump)
--- a/packages/ragwortwing-agent/tests/test_process.py
+++ b/packages/ragwortwing-agent/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The agent as a process: settings, ready line, status, the ways to stop it."""
+"""The agent as a process: settings, ready line, status endpoint and graceful stops."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from ragwortwing_lab.processes import python_command, start_process
 
-LIMIT = 30.0
+EXIT_TIMEOUT_SECONDS = 30.0
 
 
 def settings(**changes) -> dict:
@@ -48,8 +48,8 @@
     return msgspec.json.decode(reply.content)
 
 
-async def ended(process) -> int:
-    with trio.fail_after(LIMIT):
+async def wait_exit_code(process) -> int:
+    with trio.fail_after(EXIT_TIMEOUT_SECONDS):
         return await process.handle.wait()
 
 
@@ -60,7 +60,7 @@
         assert status["phase"] == "serving"
         assert status["agent_id"].startswith("agent-1/")
         process.handle.send_signal(number)
-        assert await ended(process) == 0
+        assert await wait_exit_code(process) == 0
 
 
 async def test_drain_command_stops_gracefully(tmp_path) -> None:
@@ -68,27 +68,27 @@
         command = python_command("ragwortwing_agent", "drain", "--address", process.listen["http"])
         result = await trio.run_process(command, capture_stdout=True)
         assert msgspec.json.decode(result.stdout)["agent_id"].startswith("agent-1/")
-        assert await ended(process) == 0
+        assert await wait_exit_code(process) == 0
 
 
-async def test_a_process_is_on_the_list_until_it_stops(tmp_path) -> None:
+async def test_process_is_in_member_list_until_it_stops(tmp_path) -> None:
     command = python_command("ragwortwing_lab", "store")
     store = await start_process("store", command, tmp_path / "store.log")
     state_url = f"http://{store.listen['control']}/state"
 
-    async def listed() -> list[str]:
+    async def list_members() -> list[str]:
         return (await call("GET", state_url))["members"].get("members", [])
 
     try:
         platform = {"log": f"http://{store.listen['http']}"}
         async with running_agent(tmp_path, platform=platform) as process:
-            with trio.fail_after(LIMIT):
-                while not await listed():
+            with trio.fail_after(EXIT_TIMEOUT_SECONDS):
+                while not await list_members():
                     await trio.sleep(0.01)
-            assert process.listen["wire"] in (await listed())[0]
+            assert process.listen["wire"] in (await list_members())[0]
             process.handle.send_signal(signal.SIGTERM)
-            assert await ended(process) == 0
-            assert await listed() == []
+            assert await wait_exit_code(process) == 0
+            assert await list_members() == []
     finally:
         store.kill()
         await store.wait_dead()
@@ -102,7 +102,7 @@
         ({"backend": {"address": "nowhere", "kind": "engine", "targets": []}}, "backend.address"),
     ],
 )
-async def test_faulty_settings_are_refused(tmp_path, changes, key) -> None:
+async def test_invalid_settings_are_rejected_with_exit_code_2(tmp_path, changes, key) -> None:
     path = tmp_path / "agent.toml"
     path.write_text(tomli_w.dumps(settings(**changes)))
     result = await trio.run_process(
--- a/packages/ragwortwing-agent/tests/test_service_call.py
+++ b/packages/ragwortwing-agent/tests/test_service_call.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: what is told of each way to fail, and that an order is sent once."""
+"""Calls to plain services: the outcome of each failure, and that an order is sent at most once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from ragwortwing_runtime.order_book import OrderBook
 from ragwortwing_runtime.system_clock import SystemClock
 
-KEYED = {"order_key": "wedding-1", "body_digest": b"digest"}
+ORDER_KEY_FIELDS = {"order_key": "wedding-1", "body_digest": b"digest"}
 
 
 @asynccontextmanager
@@ -61,39 +61,43 @@
     assert bench.desk.state()["executions"] == executions
 
 
-async def test_withdrawn_order_that_was_sent_runs_on() -> None:
-    """A caller hangs up while its order runs, and asks again later with its key.
+async def test_withdrawn_order_runs_to_its_end_once_sent() -> None:
+    """Guards against losing the outcome of an order whose caller disconnects while it runs.
 
-    The order cannot be called back, so it ends and is recorded: the caller gets its answer.
+    The order cannot be undone, so it runs to its end and is recorded. A repeat with the same key
+    gets the recorded response.
     """
     async with order_bench() as (bench, _), bench.entry() as entry:
         bench.desk.faults.set(Fault(FaultKind.FREEZE))
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         await bench.until(lambda: bench.app.gate.requests_by_id["r1"].sent_to_backend)
         await entry.withdraw("r1")
-        await entry.order("r2", **KEYED)
+        await entry.order("r2", **ORDER_KEY_FIELDS)
         bench.desk.faults.clear()
         answer = await entry.ended("r2")
     assert answer.end.outcome == Completed()
     assert bench.desk.state()["executions_by_id"] == {"r1": 1}
 
 
-async def test_order_whose_claim_ran_out_before_the_write_is_not_sent() -> None:
-    """The process stood still between winning the key and the write; its caller was told."""
+async def test_order_with_expired_claim_is_not_sent() -> None:
+    """Guards against sending an order if the process was suspended after it won the claim.
+
+    The caller has already been told that the order did not run.
+    """
     refusal = NotRun(NotRunReason.DEADLINE)
     async with order_bench() as (bench, _), bench.entry() as entry:
         bench.app._orders.begin_send = lambda won: refusal
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         answer = await entry.ended("r1")
     assert answer.end.outcome == refusal
     assert bench.desk.state()["executions"] == 0
 
 
-async def test_repeated_key_gets_the_first_answer() -> None:
+async def test_repeated_key_gets_the_first_response() -> None:
     async with order_bench() as (bench, _), bench.entry() as entry:
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         first = await entry.ended("r1")
-        await entry.order("r2", **KEYED)
+        await entry.order("r2", **ORDER_KEY_FIELDS)
         second = await entry.ended("r2")
         await entry.order("r3", order_key="wedding-1", body_digest=b"another")
         third = await entry.ended("r3")
@@ -105,39 +109,39 @@
     assert bench.desk.state()["executions_by_id"] == {"r1": 1}
 
 
-async def test_order_that_could_not_be_sent_leaves_its_key_free() -> None:
+async def test_unsent_order_releases_its_key() -> None:
     async with order_bench() as (bench, _), bench.entry() as entry:
         bench.crash_backend()
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         answer = await entry.ended("r1")
         assert answer.end.outcome == NotRun(NotRunReason.NO_BACKEND)
-        await entry.order("r2", **KEYED)
+        await entry.order("r2", **ORDER_KEY_FIELDS)
         again = await entry.ended("r2")
     assert again.end.outcome == NotRun(NotRunReason.NO_BACKEND)
 
 
 async def test_order_with_a_lost_reply_is_never_sent_again() -> None:
-    """The desk runs the order and its reply is lost; the family's app repeats it with its key."""
+    """Guards against running an order twice if its reply is lost and the caller repeats the key."""
     async with order_bench() as (bench, _), bench.entry() as entry:
         bench.desk.faults.set(Fault(FaultKind.DROP_REPLIES))
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         assert (await entry.ended("r1")).end.outcome == Unknown(UnknownReason.BACKEND_LOST)
         bench.desk.faults.clear()
-        await entry.order("r2", **KEYED)
+        await entry.order("r2", **ORDER_KEY_FIELDS)
         again = await entry.ended("r2")
     assert again.end.outcome == Unknown(UnknownReason.BACKEND_LOST)
     assert bench.desk.state()["executions_by_id"] == {"r1": 1}
 
 
-async def test_withdrawn_before_the_claim_is_read_back_is_not_sent() -> None:
+async def test_order_withdrawn_before_its_claim_is_confirmed_is_not_sent() -> None:
     async with order_bench() as (bench, log), bench.entry() as entry:
         log.faults.set(Fault(FaultKind.SLOW, seconds=0.2))
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         await bench.until(lambda: bench.app.gate.load().running == 1)
         await entry.withdraw("r1")
         await bench.until(lambda: bench.app.gate.load().running == 0)
         log.faults.clear()
-        await entry.order("r2", **KEYED)
+        await entry.order("r2", **ORDER_KEY_FIELDS)
         answer = await entry.ended("r2")
     assert answer.end.outcome == Completed()
     assert bench.desk.state()["executions_by_id"] == {"r2": 1}
@@ -146,7 +150,7 @@
 async def test_order_is_not_run_while_the_log_is_down() -> None:
     async with order_bench() as (bench, log), bench.entry() as entry:
         log.faults.set(Fault(FaultKind.OUTAGE))
-        await entry.order("r1", **KEYED)
+        await entry.order("r1", **ORDER_KEY_FIELDS)
         answer = await entry.ended("r1")
     assert isinstance(answer.end.outcome, NotRun)
     assert answer.end.outcome.reason is NotRunReason.LOG_UNAVAILABLE
