--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/__init__.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults against a site of real processes, and the checks of what must always hold."""
+"""Injects random faults into a site of real processes and checks its guarantees."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/call.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/call.py
@@ -1,4 +1,4 @@
-"""One HTTP call to an entry, and what came of it so far."""
+"""HTTP calls to an entry, with the partial response available while they run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .observations import Answer, read_error, read_stream
 
 KEY_BY_ACCOUNT = {"suva-bakery": "suva-key", "nadi-bakery": "nadi-key"}
-"""API keys of the accounts in the demo's configuration."""
+"""API keys of the client accounts in the demo configuration."""
 
 FIRST_ERROR_STATUS = 400
 OUTCOME_HEADER = b"x-ragwortwing-outcome"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """What a caller sends."""
+    """An HTTP request of a caller."""
 
     path: str
     body: bytes
@@ -30,7 +30,7 @@
 
     @property
     def all_headers(self) -> list[tuple[str, str]]:
-        """The headers with the account's key and the content type."""
+        """The request headers, including the content type and the account's API key."""
         return [
             ("content-type", "application/json"),
             ("authorization", f"Bearer {KEY_BY_ACCOUNT[self.account]}"),
@@ -39,7 +39,7 @@
 
 
 def chat_request(prompt: str, account: str, request_class: str) -> CallerRequest:
-    """Return the request for a streamed answer."""
+    """Return a request for a streamed chat completion."""
     messages = [{"role": "user", "content": prompt}]
     body = msgspec.json.encode({"model": MODEL, "stream": True, "messages": messages})
     headers = (("x-request-class", request_class),)
@@ -47,14 +47,14 @@
 
 
 def order_request(key: str, account: str, cake: int) -> CallerRequest:
-    """Return the request for an order; an empty key makes it one without a key."""
+    """Return a request for an order; with an empty key it has no idempotency key."""
     headers = (("idempotency-key", key),) if key else ()
     return CallerRequest("/desk/orders", msgspec.json.encode({"cake": cake}), account, headers)
 
 
 @dataclass(slots=True)
 class Call:
-    """A call and what came of it so far."""
+    """A call and the part of its response received so far."""
 
     answer: Answer
     received: bytearray = field(default_factory=bytearray)
@@ -63,15 +63,15 @@
 
     @property
     def events(self) -> int:
-        """Events received so far."""
+        """Number of events received so far."""
         return self.received.count(b"\n\n")
 
     async def run(self, request: CallerRequest) -> None:
-        """Send the request and receive the answer, however it ends."""
+        """Send the request and read the response; a broken connection marks it incomplete."""
         try:
             await self._exchange(request)
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
-            self.answer.whole = False
+            self.answer.is_complete = False
         finally:
             self._read()
             self.ended.set()
@@ -87,12 +87,12 @@
             self.answer.request_id = self.headers.get(REQUEST_ID_HEADER, b"").decode()
             async for piece in response.aiter_stream():
                 self.received += piece
-            self.answer.whole = True
+            self.answer.is_complete = True
 
     def _read(self) -> None:
         if self.headers.get(b"content-type", b"").startswith(b"text/event-stream"):
             read_stream(bytes(self.received), self.answer)
-        elif self.answer.whole and self.answer.status >= FIRST_ERROR_STATUS:
+        elif self.answer.is_complete and self.answer.status >= FIRST_ERROR_STATUS:
             read_error(bytes(self.received), self.answer)
         elif OUTCOME_HEADER in self.headers:
             self.answer.outcomes.append(self.headers[OUTCOME_HEADER].decode())
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/checks.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/checks.py
@@ -1,4 +1,4 @@
-"""What must hold after any faults: each violation is told with what shows it."""
+"""Checks the guarantees that hold under any faults; each violation carries its evidence."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Promise(StrEnum):
-    """A promise that a run can break."""
+    """A guarantee that a fault run checks."""
 
     ORDER_AT_MOST_ONCE = "order_at_most_once"
     NOT_RUN_DID_NOT_RUN = "not_run_did_not_run"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken, and what shows it."""
+    """A violated guarantee and the evidence for it."""
 
     promise: Promise
     detail: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteRevision:
-    """What one process says is in force."""
+    """The configuration revision that one process reports as in force."""
 
     process: str
     revision: int
@@ -49,7 +49,10 @@
 def check_orders(
     orders: Iterable[OrderObservation], executions: Sequence[Execution]
 ) -> Iterator[Violation]:
-    """Check that no order ran twice, that none told as not run ran, and that completed ones ran."""
+    """Check that orders ran at most once, and that reported outcomes match the executions.
+
+    An order reported as not run must not have run; one reported as completed must have run.
+    """
     by_id = Counter(each.request_id for each in executions)
     by_key = Counter(each.key for each in executions if each.key)
     for request_id, count in by_id.items():
@@ -67,56 +70,60 @@
 ) -> Iterator[Violation]:
     for answer in order.answers:
         if answer.outcome == "not_run" and by_id[answer.request_id]:
-            detail = f"order {order.key or answer.request_id}: told {answer.reason}, yet it ran"
+            detail = f"order {order.key or answer.request_id}: reported {answer.reason}, but it ran"
             yield Violation(Promise.NOT_RUN_DID_NOT_RUN, detail)
         ran = by_key[order.key] if order.key else by_id[answer.request_id]
         if answer.outcome == "completed" and not ran:
-            detail = f"order {order.key or answer.request_id}: told completed, yet it never ran"
+            detail = f"order {order.key or answer.request_id}: reported completed, but it never ran"
             yield Violation(Promise.WHOLE_AND_OWN, detail)
 
 
 def check_chats(
     chats: Iterable[ChatObservation], executions: Sequence[Execution]
 ) -> Iterator[Violation]:
-    """Check that each answer is the caller's own, whole if told so, and never told not run."""
+    """Check that each stream has the text for its prompt and that reported outcomes are true.
+
+    A completed stream must have the whole text, any other a prefix of it. A request reported as not
+    run must not have reached an engine.
+    """
     started = {each.request_id for each in executions}
     for chat in chats:
         expected = answer_text(chat.prompt, chat.tokens)
         answer = chat.answer
         if answer.outcome == "completed" and answer.text != expected:
-            detail = f"{answer.request_id}: told completed with {answer.text!r}"
+            detail = f"{answer.request_id}: reported completed with text {answer.text!r}"
             yield Violation(Promise.WHOLE_AND_OWN, detail)
         elif not expected.startswith(answer.text):
-            detail = f"{answer.request_id}: {answer.text!r} is not of the answer to {chat.prompt!r}"
+            detail = f"{answer.request_id}: {answer.text!r} is no prefix for {chat.prompt!r}"
             yield Violation(Promise.WHOLE_AND_OWN, detail)
         if answer.outcome == "not_run" and answer.request_id in started:
-            detail = f"{answer.request_id}: told {answer.reason}, yet an engine ran it"
+            detail = f"{answer.request_id}: reported {answer.reason}, but an engine ran it"
             yield Violation(Promise.NOT_RUN_DID_NOT_RUN, detail)
 
 
-def check_answers(answers: Iterable[Answer], stopped_entries: set[str]) -> Iterator[Violation]:
-    """Check that each request had one outcome, and only a stopped entry broke an answer off."""
+def check_answers(answers: Iterable[Answer], killed_entries: set[str]) -> Iterator[Violation]:
+    """Check that each request had exactly one outcome, and only killed entries cut responses."""
     for answer in answers:
         if answer.timed_out:
-            detail = f"{answer.entry} {answer.request_id}: no end of the answer"
+            detail = f"{answer.entry} {answer.request_id}: response did not end"
             yield Violation(Promise.ANSWERED_IN_TIME, detail)
-        elif answer.whole and len(answer.outcomes) != 1:
+        elif answer.is_complete and len(answer.outcomes) != 1:
             detail = f"{answer.request_id}: status {answer.status}, outcomes {answer.outcomes}"
             yield Violation(Promise.ONE_OUTCOME, detail)
-        elif not answer.whole and answer.entry not in stopped_entries:
-            detail = f"{answer.entry} {answer.request_id}: answer broken off"
+        elif not answer.is_complete and answer.entry not in killed_entries:
+            detail = f"{answer.entry} {answer.request_id}: response cut off"
             yield Violation(Promise.ONE_OUTCOME, detail)
 
 
 def check_revisions(revisions: Sequence[SiteRevision]) -> Iterator[Violation]:
-    """Check that every process has the same configuration in force."""
+    """Check that all processes have the same configuration revision in force."""
     if len({each.revision for each in revisions}) > 1:
         detail = ", ".join(f"{each.process}: {each.revision}" for each in revisions)
         yield Violation(Promise.CONFIGURATION_EQUAL, detail)
 
 
 def check_races(races: Iterable[PresetRace]) -> Iterator[Violation]:
-    """Check that of two operators who start from one revision at most one is told yes."""
+    """Check that of two concurrent changes from the same revision at most one is accepted."""
     for race in races:
         if race.accepted > 1:
             detail = f"{race.accepted} accepted from revision {race.base}"
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/observations.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/observations.py
@@ -1,4 +1,4 @@
-"""What callers saw of their requests."""
+"""Records of the responses that callers got, and their parsing."""
 
 from __future__ import annotations
 
@@ -42,29 +42,29 @@
 
 @dataclass(slots=True)
 class Answer:
-    """One HTTP answer, as far as it came."""
+    """One HTTP response, as far as it was received."""
 
     entry: str
     status: int = 0
     request_id: str = ""
     outcomes: list[str] = field(default_factory=list)
-    """Every outcome told; a whole answer tells exactly one."""
+    """All outcomes reported; a complete response reports exactly one."""
     reason: str = ""
     text: str = ""
-    whole: bool = False
-    """Whether the answer ended in good order and not by a broken connection."""
+    is_complete: bool = False
+    """Whether the response ended normally rather than by a broken connection."""
     timed_out: bool = False
-    """Whether the caller gave up waiting."""
+    """Whether the caller timed out."""
 
     @property
     def outcome(self) -> str:
-        """The outcome told, empty where none or several were."""
+        """The reported outcome; empty if there is none or more than one."""
         return self.outcomes[0] if len(self.outcomes) == 1 else ""
 
 
 @dataclass(slots=True)
 class ChatObservation:
-    """A stream and its answer."""
+    """A streamed chat request and its response."""
 
     prompt: str
     tokens: int
@@ -73,32 +73,32 @@
 
 @dataclass(slots=True)
 class OrderObservation:
-    """An order and the answers to each of its submissions."""
+    """An order and the response to each of its submissions."""
 
     key: str
-    """Idempotency key; empty for an order that was submitted once without one."""
+    """Idempotency key; empty for an order without one, which is submitted only once."""
     answers: list[Answer] = field(default_factory=list)
 
 
 def read_stream(body: bytes, answer: Answer) -> None:
-    """Take text and outcomes out of a stream, which may have broken off."""
+    """Read text and outcomes from a stream, which may be cut off."""
     for event in body.split(b"\n\n")[:-1]:
         if event.startswith(OUTCOME_EVENT):
-            _take_outcome(event.removeprefix(OUTCOME_EVENT), answer)
+            _read_outcome(event.removeprefix(OUTCOME_EVENT), answer)
         elif event.startswith(DATA_PREFIX) and event.removeprefix(DATA_PREFIX) != DONE:
             chunk = msgspec.json.decode(event.removeprefix(DATA_PREFIX), type=_ChunkEvent)
             answer.text += "".join(each.delta.content for each in chunk.choices)
 
 
 def read_error(body: bytes, answer: Answer) -> None:
-    """Take the outcome out of an error body."""
-    told = msgspec.json.decode(body, type=OutcomeEnvelope).error
-    answer.reason = told.code
-    if told.type in set(OutcomeKind):
-        answer.outcomes.append(told.type)
+    """Read the reason and the outcome from an error body."""
+    error_body = msgspec.json.decode(body, type=OutcomeEnvelope).error
+    answer.reason = error_body.code
+    if error_body.type in set(OutcomeKind):
+        answer.outcomes.append(error_body.type)
 
 
-def _take_outcome(event: bytes, answer: Answer) -> None:
-    told = msgspec.json.decode(event.removeprefix(DATA_PREFIX), type=OutcomeEnvelope).error
-    answer.outcomes.append(told.type)
-    answer.reason = told.code
+def _read_outcome(event: bytes, answer: Answer) -> None:
+    error_body = msgspec.json.decode(event.removeprefix(DATA_PREFIX), type=OutcomeEnvelope).error
+    answer.outcomes.append(error_body.type)
+    answer.reason = error_body.code
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/operators.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/operators.py
@@ -1,4 +1,4 @@
-"""Operators who change the preset from one revision at one moment."""
+"""Concurrent operator commands that change the preset from the same revision."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from ..site import Site
 
 ACCEPTED = 0
-"""Exit code of a command that the log has shown to be in force."""
+"""Exit code of a command that succeeded; a change is then confirmed by the log."""
 
 RACING_PRESETS = ("peak", "ordinary")
 
@@ -25,22 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PresetRace:
-    """Commands that were made from one revision, and what each answered."""
+    """Concurrent commands based on the same revision, and their results."""
 
     base: int
     results: tuple[OperatorResult, ...]
 
     @property
     def accepted(self) -> int:
-        """How many were told that their change is in force."""
+        """Number of commands that reported their change as in force."""
         return sum(1 for each in self.results if each.code == ACCEPTED)
 
 
 async def race_presets(site: Site) -> PresetRace | None:
-    """Run two operators' commands at once from the revision in force, each for another preset.
+    """Run two concurrent commands that switch to different presets from the current revision.
 
     Returns:
-        What they were told; None where the log does not tell what is in force.
+        The results, or None if the current revision cannot be read.
     """
     current = await site.operator("preset", "current", "--json")
     if current.code != ACCEPTED:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/runner.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/runner.py
@@ -1,4 +1,4 @@
-"""One run: a site, a load, a schedule of faults, the site made whole again, the checks."""
+"""Runs one fault test: starts a site, sends load, injects faults, awaits recovery, and checks."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
     proxied=True,
 )
 LOAD_SECONDS = 8.0
-MEAN_INTERVAL = 0.06
-FAULTS_A_RUN = 5
+MEAN_REQUEST_INTERVAL = 0.06
+FAULTS_PER_RUN = 5
 NO_ANSWER = -2
-"""Stands for the revision of a process that does not answer; no process has it."""
+"""Placeholder revision for a process that does not respond; no process has this revision."""
 
-RECOVERY_LIMIT = 20.0
+RECOVERY_TIMEOUT = 20.0
 """Seconds within which a site without faults must serve again through every entry."""
 
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRun:
-    """What a run did and found."""
+    """Result of a fault run."""
 
     seed: int
     faults: tuple[PlannedFault, ...]
@@ -66,7 +66,7 @@
     violations: tuple[Violation, ...]
 
     def render(self) -> str:
-        """Return the run as text for people."""
+        """Return a readable summary of the run."""
         lines = [f"seed {self.seed}: {self.requests} requests, {self.executions} executions"]
         lines += [f"  {f.at:5.2f} s {f.action} {f.backend}-{f.index}" for f in self.faults]
         lines += [f"  {kind}: {count}" for kind, count in sorted(self.outcomes_by_kind.items())]
@@ -75,22 +75,22 @@
 
 
 async def run_faults(seed: int, directory: Path) -> FaultRun:
-    """Run one schedule against a site whose files go into a directory."""
+    """Run one schedule against a site with its files in `directory`."""
     random = Random(seed)
-    schedule = draw_schedule(random, SHAPE, LOAD_SECONDS, FAULTS_A_RUN)
+    schedule = draw_schedule(random, SHAPE, LOAD_SECONDS, FAULTS_PER_RUN)
     async with running_site(SHAPE, directory) as site:
         callers = Callers(site, random)
         injector = Injector(site)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(injector.run, schedule)
-            nursery.start_soon(callers.run, LOAD_SECONDS, MEAN_INTERVAL)
+            nursery.start_soon(callers.run, LOAD_SECONDS, MEAN_REQUEST_INTERVAL)
         violations = [*await _check_recovery(site, callers), *await _check_revisions(site)]
         violations += _check_observations(site, callers, injector)
         await site.stop()
     answers = list(_answers(callers))
     return FaultRun(
         seed=seed,
-        faults=tuple(injector.brought_about),
+        faults=tuple(injector.injected),
         requests=len(answers),
         outcomes_by_kind=_count(answers),
         executions=len(_executions(directory, "*")),
@@ -99,7 +99,7 @@
 
 
 def run_in_temporary_directory(seed: int) -> FaultRun:
-    """Run one schedule; the site's files are kept where the run found a violation."""
+    """Run one schedule; keep the site's files only if the run found a violation."""
     directory = Path(tempfile.mkdtemp(prefix=f"ragwortwing-faults-{seed}-"))
     result: FaultRun = trio.run(run_faults, seed, directory)
     if not result.violations:
@@ -112,7 +112,7 @@
 async def _check_recovery(site: Site, callers: Callers) -> list[Violation]:
     violations = []
     for index in range(site.shape.entries):
-        with trio.move_on_after(RECOVERY_LIMIT) as scope:
+        with trio.move_on_after(RECOVERY_TIMEOUT) as scope:
             while not await _serves(callers):
                 await trio.sleep(0.2)
         if scope.cancelled_caught:
@@ -127,9 +127,9 @@
 
 
 async def _check_revisions(site: Site) -> list[Violation]:
-    """Wait for equal revisions as long as a recovery may take, then judge."""
+    """Wait up to `RECOVERY_TIMEOUT` for equal revisions; return the remaining violations."""
     violations: list[Violation] = []
-    with trio.move_on_after(RECOVERY_LIMIT):
+    with trio.move_on_after(RECOVERY_TIMEOUT):
         while True:
             violations = list(check_revisions(await _revisions(site)))
             if not violations:
@@ -147,7 +147,7 @@
         try:
             reply = await site.call("GET", f"http://{address}/status")
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            revisions.append(SiteRevision(f"{name} (no answer)", NO_ANSWER))
+            revisions.append(SiteRevision(f"{name} (no response)", NO_ANSWER))
             continue
         status = msgspec.json.decode(reply.body, type=_Status)
         revisions.append(SiteRevision(name, status.revision))
@@ -157,7 +157,7 @@
 def _check_observations(site: Site, callers: Callers, injector: Injector) -> Iterator[Violation]:
     yield from check_orders(callers.orders, _executions(site.directory, "desk-*"))
     yield from check_chats(callers.chats, _executions(site.directory, "engine-*"))
-    yield from check_answers(_answers(callers), injector.stopped_entries)
+    yield from check_answers(_answers(callers), injector.killed_entries)
     yield from check_races(injector.races)
 
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/schedule.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/schedule.py
@@ -1,4 +1,4 @@
-"""A schedule of faults drawn from a seed."""
+"""Draws the random fault schedule of a run."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
     from ..site import SiteShape
 
-SHORTEST_FREEZE = 0.5
-LONGEST_FREEZE = 5.0
-"""Seconds; above heartbeat timeouts and grant lifetimes."""
+MIN_FAULT_SECONDS = 0.5
+MAX_FAULT_SECONDS = 5.0
+"""Maximum duration of any fault; longer than heartbeat timeouts and grant lifetimes."""
 
 
 class FaultAction(StrEnum):
-    """One kind of fault."""
+    """Kinds of faults."""
 
     KILL_ENTRY = "kill_entry"
     KILL_AGENT = "kill_agent"
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault, when it happens and how long it lasts."""
+    """A fault with its target, start time and duration."""
 
     at: float
     """Seconds from the start of the load."""
     action: FaultAction
     backend: str
-    """Kind of backend server whose place is hit: `engine` or `desk`."""
+    """Kind of the targeted backend server: `engine` or `desk`."""
     index: int
     seconds: float
 
@@ -54,7 +54,7 @@
 def draw_schedule(
     random: Random, shape: SiteShape, seconds: float, count: int
 ) -> tuple[PlannedFault, ...]:
-    """Draw faults at random moments; two may fall together."""
+    """Draw faults at random times; they may overlap."""
     faults = [_draw(random, shape, seconds) for _ in range(count)]
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
@@ -62,13 +62,13 @@
 def _draw(random: Random, shape: SiteShape, seconds: float) -> PlannedFault:
     action = random.choice(list(FaultAction))
     backend = random.choice(("engine", "desk", "desk"))
-    places = shape.engines if backend == "engine" else shape.desks
+    target_count = shape.engines if backend == "engine" else shape.desks
     if action in (FaultAction.KILL_ENTRY, FaultAction.FREEZE_ENTRY):
-        places = shape.entries
+        target_count = shape.entries
     return PlannedFault(
         at=random.uniform(0.5, seconds),
         action=action,
         backend=backend,
-        index=random.randrange(places),
-        seconds=random.uniform(SHORTEST_FREEZE, LONGEST_FREEZE),
+        index=random.randrange(target_count),
+        seconds=random.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS),
     )
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/__init__.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the platform's entries: real processes, faults from outside, promises checked."""
+"""Soak test of the platform's entries: runs real processes, injects faults, checks guarantees."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/callers.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections open, leave in the middle, and come back elsewhere."""
+"""Simulated callers that reuse connections, abort requests and reconnect to other entries."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import trio
 
 from ..standins.platform_site import CHAT_PROMPT, DRAFT_PROMPT, Caller
-from .observations import Attempt, Kind, incarnation
+from .observations import Attempt, Kind, incarnation_name
 
 if TYPE_CHECKING:
     from random import Random
@@ -15,65 +15,68 @@
     from ..standins.platform_site import EntryProcess
     from .fleet import Fleet
 
-REQUESTS_A_CONNECTION = 8
-"""Most requests on one connection of a caller that closes it by itself."""
+MAX_REQUESTS_PER_CONNECTION = 8
+"""Maximum number of requests on a connection that the caller closes itself."""
 
-STAYING_SHARE = 0.4
-"""Share of the connections that are used until the entry closes them or is gone."""
+KEEP_ALIVE_SHARE = 0.4
+"""Share of connections that the caller keeps open until the entry closes them or exits."""
 
-LEAVE_SHARE = 0.06
-"""Share of the requests whose caller leaves before the answer."""
+ABORT_SHARE = 0.06
+"""Share of requests that the caller may abort before the response; applies only to connections
+that the caller closes itself."""
 
-THINKING = 0.05
-"""Mean seconds between two requests of a caller."""
+MEAN_THINK_SECONDS = 0.05
+"""Mean seconds between two requests of a caller; also the delay after a connection error."""
 
-ANSWER_LIMIT = 8.0
-"""Seconds after which an answer counts as never coming; twice the longest timeout of a route."""
+ANSWER_TIMEOUT = 8.0
+"""Seconds without a complete response after which a request counts as unanswered.
+
+Twice the longest timeout of a route."""
 
 PROMPTS = {Kind.CHAT: CHAT_PROMPT, Kind.DRAFT: DRAFT_PROMPT}
 
 
 class Callers:
-    """A number of callers, each with one request at a time."""
+    """Simulates a number of concurrent callers with one request each at a time."""
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
         self.attempts: list[Attempt] = []
         self.unanswered: list[Attempt] = []
-        """Those that had no end within the limit."""
+        """Requests that did not finish within `ANSWER_TIMEOUT`."""
         self._fleet = fleet
         self._random = random
         self._count = 0
 
     async def run(self, callers: int, seconds: float) -> None:
-        """Call for some time, and return once every caller has its answer."""
-        ends = trio.current_time() + seconds
+        """Send requests for `seconds`, then wait until every caller's last request has ended."""
+        end_time = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             for _ in range(callers):
-                nursery.start_soon(self._call_until, ends)
+                nursery.start_soon(self._call_until, end_time)
 
-    async def _call_until(self, ends: float) -> None:
-        while trio.current_time() < ends:
+    async def _call_until(self, end_time: float) -> None:
+        while trio.current_time() < end_time:
             entry = self._random.choice(self._fleet.entries)
             caller = Caller(entry.callers)
-            stays = self._random.random() < STAYING_SHARE
-            left = self._random.randint(1, REQUESTS_A_CONNECTION)
+            keeps_alive = self._random.random() < KEEP_ALIVE_SHARE
+            remaining = self._random.randint(1, MAX_REQUESTS_PER_CONNECTION)
             try:
-                while stays or left > 0:
-                    left -= 1
-                    await trio.sleep(self._random.expovariate(1 / THINKING))
-                    over = trio.current_time() >= ends
-                    if over or not await self._call(caller, entry, may_leave=not stays):
+                while keeps_alive or remaining > 0:
+                    remaining -= 1
+                    await trio.sleep(self._random.expovariate(1 / MEAN_THINK_SECONDS))
+                    expired = trio.current_time() >= end_time
+                    if expired or not await self._call(caller, entry, may_abort=not keeps_alive):
                         break
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-                await trio.sleep(THINKING)
+                await trio.sleep(MEAN_THINK_SECONDS)
             finally:
                 await caller.leave()
 
     async def call_once(self, entry: EntryProcess, kind: Kind) -> Attempt:
-        """Make one request on a connection of its own."""
+        """Send one request on a new connection."""
         caller = Caller(entry.callers)
         try:
-            await self._call(caller, entry, kind, may_leave=False)
+            await self._call(caller, entry, kind, may_abort=False)
         finally:
             await caller.leave()
         return self.attempts[-1]
@@ -84,26 +87,28 @@
         entry: EntryProcess,
         kind: Kind | None = None,
         *,
-        may_leave: bool = True,
+        may_abort: bool = True,
     ) -> bool:
-        """Make one request; return whether the connection carries another."""
-        leaves = may_leave and self._random.random() < LEAVE_SHARE
+        """Send one request; return whether the connection can be reused."""
+        aborts = may_abort and self._random.random() < ABORT_SHARE
         kind = kind or self._random.choice(list(Kind))
         self._count += 1
         request_id = f"r-{self._count}"
         sent_at = trio.current_time()
-        with trio.move_on_after(self._random.uniform(0, 0.15) if leaves else ANSWER_LIMIT) as scope:
+        with trio.move_on_after(
+            self._random.uniform(0, 0.15) if aborts else ANSWER_TIMEOUT
+        ) as scope:
             await caller.send(f"/{kind}/x", request_id, headers=PROMPTS.get(kind))
-            got = await caller.receive()
+            response = await caller.receive()
         ended_at = trio.current_time()
-        process = incarnation(entry)
+        process = incarnation_name(entry)
         if scope.cancelled_caught:
             attempt = Attempt(request_id, kind, process, sent_at, ended_at, None)
-            if not leaves:
+            if not aborts:
                 self.unanswered.append(attempt)
             return False
-        self.attempts.append(Attempt(request_id, kind, process, sent_at, ended_at, got))
-        if not got.whole or got.headers.get("connection") == "close":
+        self.attempts.append(Attempt(request_id, kind, process, sent_at, ended_at, response))
+        if not response.whole or response.headers.get("connection") == "close":
             return False
         caller.next_request()
         return True
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/checks.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold in a soak, judged by what callers and backend servers saw."""
+"""Checks the guarantees of a soak test against what callers and backend servers observed."""
 
 from __future__ import annotations
 
@@ -15,62 +15,67 @@
 
     from ..standins.platform_site import EntryProcess, Got
     from ..standins.published_backend import PublishedBackend
-    from .observations import Attempt, Disturbance, LimitedSpan, Published
+    from .observations import Attempt, Disturbance, PublishedConfiguration, RateLimitedSpan
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-TAKES_FOR = 2.5
-"""Seconds after the word to stop in which a request must still be served whole; an entry takes
-them for three, and this leaves it time to hear the word."""
+SERVED_AFTER_STOP_SECONDS = 2.5
+"""Seconds after the stop signal in which a new request must still be served completely.
 
-AFTERMATH = 4.0
-"""Seconds after a fault in which it may still cut an answer: silence shows after time limits."""
+An entry accepts requests for three seconds after it; the rest is time to receive the signal."""
 
-IN_FORCE_WITHIN = 3.0
-"""Seconds after its acknowledgement in which a configuration is in force."""
+CUT_EFFECT_SECONDS = 4.0
+"""Seconds after a fault in which it may still cut a response.
 
-SETTLING = 3.0
-"""Seconds after a fault in which its effects may last."""
+A silent connection is detected only when its timeouts expire."""
 
-LIMIT_KEPT_AFTER = 3.0
-"""Seconds after a server first named a limit from which it is kept."""
+IN_FORCE_TIMEOUT = 3.0
+"""Seconds after its acknowledgement within which a configuration must be in force."""
 
-LIMIT_SPAN = 4.0
-"""Seconds in which a server gets at most one and a half times its limit, and five requests."""
+SETTLE_SECONDS = 3.0
+"""Seconds for which the effects of a fault may last after it ends."""
 
-EVENTS = 10
-"""Events of a whole stream."""
+RATE_LIMIT_DELAY = 3.0
+"""Seconds from the moment a server first announces a rate limit until it must be respected."""
+
+RATE_LIMIT_WINDOW = 4.0
+"""Seconds of the window over which requests are counted.
+
+A server may get at most 1.5 times its rate limit over the window, plus five requests."""
+
+STREAM_EVENTS = 10
+"""Number of events in a complete stream."""
 
 
 class SoakPromise(StrEnum):
-    """A promise that a soak can see broken."""
+    """A guarantee that a soak test checks."""
 
     ONCE = "once"
-    """What may not be repeated runs once at most."""
+    """A request that must not be repeated runs at most once."""
     NOT_RUN = "not_run"
-    """What is told as not run has not run and does not run later."""
+    """A request reported as not run has not run and does not run later."""
     WHOLE_AND_OWN = "whole_and_own"
-    """A success is the whole answer of a backend server to that request."""
+    """A successful response is a backend server's complete answer to that very request."""
     STOP_CUTS_NOTHING = "stop_cuts_nothing"
-    """A planned stop cuts no answer."""
+    """A planned stop cuts no response."""
     ANSWERED = "answered"
-    """Every request ends."""
+    """Every request gets a response or an error."""
     ALIVE = "alive"
-    """No entry ends by itself."""
+    """No entry exits unexpectedly."""
     RECOVERS = "recovers"
-    """Without faults, every entry serves every kind again."""
+    """After the faults end, every entry serves every kind of request again."""
     IN_FORCE = "in_force"
-    """The newest configuration is in force at every entry."""
+    """The latest configuration is in force at every entry at the end."""
     IN_FORCE_IN_TIME = "in_force_in_time"
-    """A configuration is in force within seconds at every entry that reaches the store."""
+    """A configuration takes effect in time at every entry that reaches the store."""
     LIMIT_KEPT = "limit_kept"
-    """A backend server gets no more than the limit that it names."""
+    """A backend server gets no more requests than the rate limit that it announces allows."""
     LETS_GO = "lets_go"
-    """No backend server works on for callers that are gone."""
+    """No backend server goes on working for a caller that has disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakViolation:
-    """A promise that was broken, and what shows it."""
+    """A violated guarantee and the evidence for it."""
 
     promise: SoakPromise
     detail: str
@@ -79,7 +84,7 @@
 def check_runs(
     attempts: Iterable[Attempt], backends: Iterable[PublishedBackend]
 ) -> Iterator[SoakViolation]:
-    """Check what ran against what callers were told."""
+    """Compare what backend servers ran with the outcomes that callers got."""
     runs = [(run.request_id, run.path) for backend in backends for run in backend.runs]
     runs_by_id = Counter(request_id for request_id, _ in runs)
     path_by_id = dict(runs)
@@ -88,20 +93,24 @@
         if count > 1 and kind in (Kind.ORDER, Kind.CHAT):
             yield SoakViolation(SoakPromise.ONCE, f"{kind} {request_id} ran {count} times")
     for attempt in attempts:
-        if attempt.got is None or not runs_by_id[attempt.request_id]:
+        if attempt.response is None or not runs_by_id[attempt.request_id]:
             continue
         once = attempt.kind in (Kind.ORDER, Kind.CHAT)
-        if once and attempt.got.status in NOT_RUN_STATUSES:
-            detail = f"{attempt.kind} {attempt.request_id}: told {attempt.got.status}, yet it ran"
+        if once and attempt.response.status in NOT_RUN_STATUSES:
+            detail = f"{attempt.kind} {attempt.request_id}: got {attempt.response.status}, but ran"
             yield SoakViolation(SoakPromise.NOT_RUN, detail)
 
 
 def check_answers(
     attempts: Iterable[Attempt], backend_ids: frozenset[str]
 ) -> Iterator[SoakViolation]:
-    """Check that each success is whole and the request's own."""
+    """Check that each successful response is complete and belongs to its request."""
     for attempt in attempts:
-        fault = None if attempt.got is None else _fault(attempt, attempt.got, backend_ids)
+        fault = (
+            None
+            if attempt.response is None
+            else _answer_fault(attempt, attempt.response, backend_ids)
+        )
         if fault is not None:
             detail = f"{attempt.kind} {attempt.request_id} by {attempt.entry}: {fault}"
             yield SoakViolation(SoakPromise.WHOLE_AND_OWN, detail)
@@ -110,16 +119,16 @@
 def check_planned_stops(
     attempts: Iterable[Attempt],
     stopped_at_by_incarnation: Mapping[str, float],
-    cutting: Iterable[Span],
+    cutting_spans: Iterable[Span],
 ) -> Iterator[SoakViolation]:
-    """Check that stops cut nothing, where no other fault can have cut it."""
-    spans = tuple(cutting)
+    """Check that planned stops cut no response, except where another fault may have cut it."""
+    spans = tuple(cutting_spans)
     for attempt in attempts:
         stopped_at = stopped_at_by_incarnation.get(attempt.entry)
-        if stopped_at is None or attempt.got is None:
+        if stopped_at is None or attempt.response is None:
             continue
-        in_time = attempt.ended_at >= stopped_at >= attempt.sent_at - TAKES_FOR
-        if not in_time or attempt.got.whole or _may_be_cut(attempt, spans):
+        was_affected = attempt.ended_at >= stopped_at >= attempt.sent_at - SERVED_AFTER_STOP_SECONDS
+        if not was_affected or attempt.response.whole or _may_be_cut(attempt, spans):
             continue
         detail = (
             f"{attempt.kind} {attempt.request_id}, stopped at {stopped_at - attempt.sent_at:.2f} s"
@@ -128,76 +137,93 @@
 
 
 def check_in_force(
-    published: Sequence[Published],
+    published: Sequence[PublishedConfiguration],
     entries: Sequence[EntryProcess],
     disturbances: Sequence[Disturbance],
 ) -> Iterator[SoakViolation]:
-    """Check when each configuration was in force, where nothing but a narrow link delayed it."""
+    """Check that each configuration took effect in time.
+
+    Skips entries whose updates a fault may have delayed. A low-bandwidth link is no excuse.
+    """
     for number, entry in enumerate(entries):
         applied = [
             (line["time"], line["version"]) for line in entry.lines("configuration_in_force")
         ]
         for each in published:
-            window = Span(each.at - SETTLING, each.at + IN_FORCE_WITHIN)
-            if any(_delays(one, number, window) for one in disturbances):
+            window = Span(each.at - SETTLE_SECONDS, each.at + IN_FORCE_TIMEOUT)
+            if any(_is_disturbed(disturbance, number, window) for disturbance in disturbances):
                 continue
-            due = each.unix_time + IN_FORCE_WITHIN
+            due = each.unix_time + IN_FORCE_TIMEOUT
             if not any(at <= due and version >= each.version for at, version in applied):
                 detail = f"version {each.version} at {entry.name}"
                 yield SoakViolation(SoakPromise.IN_FORCE_IN_TIME, detail)
 
 
 def check_limits(
-    limited: Iterable[LimitedSpan], disturbances: Sequence[Disturbance]
+    rate_limited_spans: Iterable[RateLimitedSpan], disturbances: Sequence[Disturbance]
 ) -> Iterator[SoakViolation]:
-    """Check what limited servers got, where no entry was struck meanwhile."""
-    for each in limited:
-        span = Span(each.span.began - SETTLING, each.span.ended)
-        if any(one.strikes_entry and _overlap(one.span, span) for one in disturbances):
+    """Check request rates at rate-limited servers, except while an entry itself was disturbed."""
+    for each in rate_limited_spans:
+        span = Span(each.span.start - SETTLE_SECONDS, each.span.end)
+        if any(
+            disturbance.hits_entry and _overlap(disturbance.span, span)
+            for disturbance in disturbances
+        ):
             continue
-        since, until = each.span.began + LIMIT_KEPT_AFTER, each.span.ended
+        since, until = each.span.start + RATE_LIMIT_DELAY, each.span.end
         counted = [at for at in each.backend.arrived_at if since <= at <= until]
-        most = max(
-            (bisect(counted, at + LIMIT_SPAN) - i for i, at in enumerate(counted)), default=0
+        peak = max(
+            (bisect(counted, at + RATE_LIMIT_WINDOW) - i for i, at in enumerate(counted)), default=0
         )
-        allowed = 1.5 * LIMIT_SPAN * each.rate + 5
-        if most > allowed:
-            detail = f"{each.backend.id} got {most} in {LIMIT_SPAN} s, allowed {allowed}"
+        allowed = 1.5 * RATE_LIMIT_WINDOW * each.rate + 5
+        if peak > allowed:
+            detail = (
+                f"{each.backend.id} got {peak} requests in {RATE_LIMIT_WINDOW} s, allowed {allowed}"
+            )
             yield SoakViolation(SoakPromise.LIMIT_KEPT, detail)
 
 
-def _delays(disturbance: Disturbance, number: int, window: Span) -> bool:
+def _is_disturbed(disturbance: Disturbance, number: int, window: Span) -> bool:
     return disturbance.entry in (None, number) and _overlap(disturbance.span, window)
 
 
-def _overlap(one: Span, other: Span) -> bool:
-    return one.began <= other.ended and other.began <= one.ended
+def _overlap(first: Span, second: Span) -> bool:
+    return first.start <= second.end and second.start <= first.end
 
 
 def _may_be_cut(attempt: Attempt, spans: tuple[Span, ...]) -> bool:
     return any(
-        span.began <= attempt.ended_at and attempt.sent_at <= span.ended + AFTERMATH
+        span.start <= attempt.ended_at and attempt.sent_at <= span.end + CUT_EFFECT_SECONDS
         for span in spans
     )
 
 
-def _fault(attempt: Attempt, got: Got, backend_ids: frozenset[str]) -> str | None:
-    if got.status is None or got.headers.get("x-request-id") not in (None, attempt.request_id):
-        return None if got.status is None else f"answer of {got.headers['x-request-id']}"
-    if got.status != 200:
+def _answer_fault(attempt: Attempt, response: Got, backend_ids: frozenset[str]) -> str | None:
+    if response.status is None or response.headers.get("x-request-id") not in (
+        None,
+        attempt.request_id,
+    ):
+        return (
+            None if response.status is None else f"response to {response.headers['x-request-id']}"
+        )
+    if response.status != 200:
         return None
-    if not got.is_stamped:
-        return "a success without a stamp"
+    if not response.is_stamped:
+        return "success without a server stamp"
     if attempt.kind.streams:
-        return _stream_fault(attempt.request_id, got)
+        return _stream_fault(attempt.request_id, response)
     expected = {f"{attempt.request_id} by {backend}".encode() for backend in backend_ids}
-    return None if got.body in expected or not got.whole else f"body {got.body[:60]!r}"
+    return (
+        None
+        if response.body in expected or not response.whole
+        else f"body {response.body[:60]!r}"
+    )
 
 
-def _stream_fault(request_id: str, got: Got) -> str | None:
-    events = got.body.split(b"\n\n")
-    expected = [b"id: %d\ndata: %s-%d" % (n, request_id.encode(), n) for n in range(EVENTS)]
-    if got.whole and events != [*expected, b""]:
-        return f"a whole stream of {len(events) - 1} events: {got.body[-60:]!r}"
+def _stream_fault(request_id: str, response: Got) -> str | None:
+    events = response.body.split(b"\n\n")
+    expected = [b"id: %d\ndata: %s-%d" % (n, request_id.encode(), n) for n in range(STREAM_EVENTS)]
+    if response.whole and events != [*expected, b""]:
+        return f"unexpected complete stream, {len(events) - 1} events: {response.body[-60:]!r}"
     seen = events[:-1]
-    return None if seen == expected[: len(seen)] else f"events out of order: {got.body[:80]!r}"
+    return None if seen == expected[: len(seen)] else f"unexpected events: {response.body[:80]!r}"
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/command.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/command.py
@@ -1,4 +1,4 @@
-"""The command of the soak."""
+"""Command line interface of the soak test."""
 
 from __future__ import annotations
 
@@ -12,13 +12,22 @@
 
 
 @click.command("soak")
-@click.option("--seed", type=int, help="Run this seed only; else fresh ones, until time is up.")
-@click.option("--minutes", default=2.0, show_default=True, help="How long to run fresh seeds.")
-@click.option("--processes", default=3, show_default=True, help="Entries of the site.")
-@click.option("--seconds", default=15.0, show_default=True, help="Length of each run's load.")
-@click.option("--callers", default=12, show_default=True, help="Callers at a time.")
-@click.option("--faults", default=0.8, show_default=True, help="Faults a second.")
-@click.option("--strains", default=0.3, show_default=True, help="Strains a second.")
+@click.option(
+    "--seed", type=int, help="Run only this seed; by default, random seeds until the time is up."
+)
+@click.option("--minutes", default=2.0, show_default=True, help="How long to run random seeds.")
+@click.option("--processes", default=3, show_default=True, help="Number of entries.")
+@click.option(
+    "--seconds", default=15.0, show_default=True, help="Duration of the load in each run."
+)
+@click.option("--callers", default=12, show_default=True, help="Number of concurrent callers.")
+@click.option("--faults", default=0.8, show_default=True, help="Faults per second.")
+@click.option(
+    "--strains",
+    default=0.3,
+    show_default=True,
+    help="Stress faults per second (they break no guarantee).",
+)
 def soak_command(
     seed: int | None,
     minutes: float,
@@ -28,9 +37,9 @@
     faults: float,
     strains: float,
 ) -> None:
-    """Strike entries of the platform with random faults and check what they promise."""
+    """Inject random faults into entries of the platform and check their guarantees."""
     shape = SoakShape(seconds, processes, callers, faults, strains)
-    ends = time.monotonic() + 60 * minutes
+    end_time = time.monotonic() + 60 * minutes
     failed: list[int] = []
     runs = 0
     while True:
@@ -39,7 +48,7 @@
         runs += 1
         failed += [drawn] if result.violations else []
         click.echo(result.render())
-        if seed is not None or time.monotonic() > ends:
+        if seed is not None or time.monotonic() > end_time:
             break
     click.echo(f"{runs} runs, {len(failed)} with violations: {failed}")
     sys.exit(1 if failed else 0)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/fleet.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The site of a soak: entries, stand-ins, and a proxy on each link, all by place."""
+"""Processes of a soak test: entries, stand-ins for backend servers, and a proxy on each link."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     renamed_route,
 )
 from ..standins.published_backend import Pace, PublishedBackend
-from .observations import LimitedSpan, Published
+from .observations import PublishedConfiguration, RateLimitedSpan
 
 if TYPE_CHECKING:
     from random import Random
     from signal import Signals
 
-DRAIN = 2.0
-"""Seconds for which a backend server that leaves serves on; then it ends."""
+DRAIN_SECONDS = 2.0
+"""Minimum seconds for which a draining backend server goes on serving before it ends."""
 
 DESK_PACE = Pace(work=0.03, slots=20)
 ENGINE_PACE = Pace(work=0.05, events=10, event_gap=0.02, slots=20)
 
 
 @dataclass(slots=True)
-class Seat:
-    """A place for a backend server, whose incarnations follow each other."""
+class BackendSlot:
+    """A position in the fleet, filled by successive incarnations of a backend server."""
 
     service: str
     number: int
@@ -41,36 +41,36 @@
     backend: PublishedBackend | None = None
     proxy: FaultProxy = field(default_factory=FaultProxy)
     scopes: tuple[trio.CancelScope, ...] = ()
-    """Ended together, they end the present incarnation and its proxy."""
+    """Cancel scopes of the current incarnation and of its proxy."""
 
 
 class Fleet:
-    """Starts, strikes and replaces the processes of a soak."""
+    """Starts, signals and replaces the processes of a soak test."""
 
     def __init__(self, site: PlatformSite, random: Random, entries: int) -> None:
         self.site = site
         self.random = random
         self.backends: list[PublishedBackend] = []
-        """Every backend server that ever was."""
+        """Every backend server started so far, including those that have ended."""
         self.version = 1
-        self.published: list[Published] = []
-        self.limited: list[LimitedSpan] = []
+        self.published: list[PublishedConfiguration] = []
+        self.rate_limited_spans: list[RateLimitedSpan] = []
         self.entries: list[EntryProcess] = []
-        self.ended_by_us: set[int] = set()
-        """Process ids of entries that the soak has killed or stopped."""
+        self.expected_exit_pids: set[int] = set()
+        """Process ids of entries that the soak test has killed or stopped."""
         self.stopped_at_by_incarnation: dict[str, float] = {}
-        """When an entry was asked to stop as planned."""
+        """Time of the stop signal for each entry process that was stopped as planned."""
         self.store_proxies: list[FaultProxy] = [
             FaultProxy(site.store_address) for _ in range(entries)
         ]
-        self.seats = [Seat(ENGINES, number) for number in range(3)]
-        self.seats += [Seat(DESK, number) for number in range(2)]
+        self.backend_slots = [BackendSlot(ENGINES, number) for number in range(3)]
+        self.backend_slots += [BackendSlot(DESK, number) for number in range(2)]
         self._store_addresses: list[str] = []
 
     async def start(self) -> None:
         """Start backend servers, then entries, and wait until all are ready."""
-        for seat in self.seats:
-            await self.seat_backend(seat)
+        for backend_slot in self.backend_slots:
+            await self.start_backend(backend_slot)
         for proxy in self.store_proxies:
             self._store_addresses.append(await self.site.nursery.start(proxy.serve))
         async with trio.open_nursery() as nursery:
@@ -80,14 +80,14 @@
         for entry in self.entries:
             await self._until_ready(entry)
 
-    async def seat_backend(self, seat: Seat) -> None:
-        """Start a new incarnation of a backend server, behind a proxy of its own."""
-        seat.incarnation += 1
-        streams = seat.service == ENGINES
+    async def start_backend(self, backend_slot: BackendSlot) -> None:
+        """Start a new incarnation of a backend server behind its own proxy."""
+        backend_slot.incarnation += 1
+        streams = backend_slot.service == ENGINES
         pace = ENGINE_PACE if streams else DESK_PACE
         backend = PublishedBackend(
-            f"{seat.service}-{seat.number}-{seat.incarnation}",
-            seat.service,
+            f"{backend_slot.service}-{backend_slot.number}-{backend_slot.incarnation}",
+            backend_slot.service,
             streams=streams,
             pace=pace,
         )
@@ -95,10 +95,10 @@
         address = await self.site.nursery.start(_serve_within, scopes[0], backend)
         proxy = FaultProxy(address)
         backend.address = await self.site.nursery.start(_serve_within, scopes[1], proxy)
-        # Until both listen, a fault that strikes this seat is the former incarnation's.
-        seat.scopes, seat.proxy = scopes, proxy
+        # Until both listen, a fault on this slot must hit the previous incarnation.
+        backend_slot.scopes, backend_slot.proxy = scopes, proxy
         backend.announce(self.site.store)
-        seat.backend = backend
+        backend_slot.backend = backend
         self.backends.append(backend)
 
     async def _start_entry(self, number: int) -> EntryProcess:
@@ -107,18 +107,22 @@
         return entry
 
     async def restart(self, entry: EntryProcess, number: int) -> None:
-        """Start an entry again in place of one that has ended."""
+        """Wait until an entry has exited and start it again."""
         await entry.handle.wait()
         fresh = await self.site.add_entry(entry.name, self._store_addresses[number])
         self.entries[self.entries.index(entry)] = fresh
 
     def signal(self, entry: EntryProcess, number: Signals) -> None:
-        """Send a signal to an entry that still runs."""
+        """Send a signal to an entry if it is still running."""
         if entry.handle.poll() is None:
             entry.handle.send_signal(number)
 
     def publish(self, more_routes: int = 0) -> None:
-        """Publish a configuration with one more route, and some that only this one has."""
+        """Publish a configuration with one more route than the last.
+
+        Args:
+            more_routes: Number of additional routes that only this version has.
+        """
         self.version += 1
         document = configuration(self.version)
         lookups = next(each for each in document["routes"] if each["name"] == "lookups")
@@ -127,18 +131,20 @@
         for number in range(more_routes):
             document["routes"].append(renamed_route(lookups, f"bulk-{self.version}-{number}"))
         self.site.configure(document)
-        self.published.append(Published(self.version, trio.current_time(), time.time()))
+        self.published.append(
+            PublishedConfiguration(self.version, trio.current_time(), time.time())
+        )
 
-    def note_ended(self, entry: EntryProcess) -> None:
-        """Note that the soak ends this process."""
-        self.ended_by_us.add(entry.handle.pid)
+    def expect_exit(self, entry: EntryProcess) -> None:
+        """Record that the soak test ends this process."""
+        self.expected_exit_pids.add(entry.handle.pid)
 
-    def unexpected_ends(self) -> list[str]:
-        """Return the entries that ended by themselves."""
+    def unexpected_exits(self) -> list[str]:
+        """Describe the entries that exited without being killed or stopped by the soak test."""
         return [
-            f"{entry.name} ended with {entry.handle.returncode}"
+            f"{entry.name} exited with code {entry.handle.returncode}"
             for entry in self.site.entries
-            if entry.handle.poll() is not None and entry.handle.pid not in self.ended_by_us
+            if entry.handle.poll() is not None and entry.handle.pid not in self.expected_exit_pids
         ]
 
     async def _until_ready(self, entry: EntryProcess) -> None:
@@ -146,8 +152,8 @@
             await trio.sleep(0.05)
 
 
-def end_backend(scopes: tuple[trio.CancelScope, ...]) -> None:
-    """End an incarnation of a backend server as a crash would."""
+def kill_backend(scopes: tuple[trio.CancelScope, ...]) -> None:
+    """End an incarnation of a backend server abruptly, as a crash does."""
     for scope in scopes:
         scope.cancel()
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/observations.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/observations.py
@@ -1,4 +1,4 @@
-"""What callers saw of a soak."""
+"""Records of what callers observed and of the faults and configurations during a soak test."""
 
 from __future__ import annotations
 
@@ -10,63 +10,63 @@
 
 
 class Kind(StrEnum):
-    """Kinds of requests: each has a route of its own."""
+    """Kinds of requests; each has its own route."""
 
     ORDER = "order"
-    """Runs once at most."""
+    """Must run at most once."""
     LOOKUP = "lookup"
     CHAT = "chat"
-    """A stream that nobody may resume."""
+    """A stream that must not be resumed."""
     DRAFT = "draft"
     """A stream that may be resumed."""
 
     @property
     def streams(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is a stream of events."""
         return self in (Kind.CHAT, Kind.DRAFT)
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A stretch of the soak."""
+    """A time span within the soak test, in seconds of the trio clock."""
 
-    began: float
-    ended: float
+    start: float
+    end: float
 
 
-def incarnation(entry: EntryProcess) -> str:
-    """Return a name that no other process has."""
+def incarnation_name(entry: EntryProcess) -> str:
+    """Return the entry's name and process id, which identify one process across restarts."""
     return f"{entry.name}/{entry.handle.pid}"
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One request as its caller saw it."""
+    """One request as observed by its caller."""
 
     request_id: str
     kind: Kind
     entry: str
-    """Name and incarnation of the entry."""
+    """Incarnation name of the entry process."""
     sent_at: float
     ended_at: float
-    got: Got | None
-    """None where the caller left before an answer."""
+    response: Got | None
+    """None if the caller aborted the request or gave up waiting."""
 
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A fault by which the store's news may come late, or an entry is not there."""
+    """A fault that may delay updates from the store or make an entry unavailable."""
 
     span: Span
     entry: int | None
-    """Number of the entry; None for all of them."""
-    strikes_entry: bool
-    """Whether the entry itself was struck, rather than its way to the store."""
+    """Index of the affected entry; None if all are affected."""
+    hits_entry: bool
+    """Whether the fault hits the entry process itself rather than the store or the link to it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
-    """A configuration, and when it was published."""
+class PublishedConfiguration:
+    """A published configuration version and its time of publication."""
 
     version: int
     at: float
@@ -74,8 +74,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitedSpan:
-    """A stretch in which a backend server named a limit."""
+class RateLimitedSpan:
+    """A time span in which a backend server announced a rate limit."""
 
     backend: PublishedBackend
     rate: float
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/schedule.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults a soak brings about, and when: several at a time, and in series."""
+"""Draws the random fault schedule of a soak test; faults may overlap and repeat in series."""
 
 from __future__ import annotations
 
@@ -9,27 +9,31 @@
 if TYPE_CHECKING:
     from random import Random
 
-SHORTEST, LONGEST = 0.3, 3.0
-"""Seconds that a fault lasts."""
+MIN_FAULT_SECONDS, MAX_FAULT_SECONDS = 0.3, 3.0
+"""Bounds of a fault's duration."""
 
-SERIES = (1, 1, 2, 3)
-"""How often a fault strikes in a row; drawn from these."""
+SERIES_LENGTHS = (1, 1, 2, 3)
+"""How many times a fault is injected in a row; drawn from these values."""
 
-PAUSE = 0.7
-"""Mean seconds between two strikes of a series."""
+MEAN_SERIES_PAUSE = 0.7
+"""Mean seconds between two injections of a series."""
 
 
 class SoakFault(StrEnum):
-    """Kinds of faults; where it says so, one process or link is struck, else what all share."""
+    """Kinds of faults.
+
+    A fault described with "one" affects one process or link; the others affect the shared store or
+    configuration.
+    """
 
     KILL_ENTRY = "kill_entry"
     """One entry is killed and starts again."""
     FREEZE_ENTRY = "freeze_entry"
-    """One entry stands still and goes on."""
+    """One entry is suspended and resumed."""
     STOP_ENTRY = "stop_entry"
     """One entry is stopped as planned and starts again."""
     RELOAD_ENTRY = "reload_entry"
-    """One entry is told that its settings have changed."""
+    """One entry gets the signal to reload its settings."""
     STORE_SILENT = "store_silent"
     STORE_BUSY = "store_busy"
     STORE_RESETS = "store_resets"
@@ -45,30 +49,30 @@
     LINK_SILENT = "link_silent"
     """The connections to one backend server go silent; new ones work."""
     LINK_ONE_WAY = "link_one_way"
-    """One backend server's answers no longer come through."""
+    """Data from one backend server no longer arrives; data to it does."""
     LINK_SLOW = "link_slow"
-    """Each piece to and from one backend server is held up."""
+    """Each chunk of data to and from one backend server is delayed."""
     BACKEND_MISBEHAVES = "backend_misbehaves"
     BACKEND_CRASHES = "backend_crashes"
-    """One backend server ends, and another comes at a new address."""
+    """One backend server crashes, and another starts at a new address."""
     BACKEND_LEAVES = "backend_leaves"
-    """One backend server says that it leaves, serves on, and is replaced."""
+    """One backend server announces that it is draining, goes on serving, and is replaced."""
     CONFIGURE = "configure"
     """A configuration with one more route is published."""
     CONFIGURE_LARGE = "configure_large"
-    """A configuration with hundreds of routes more is published."""
+    """A configuration with hundreds of additional routes is published."""
     STORE_LINK_NARROW = "store_link_narrow"
-    """One entry's link to the store carries little."""
+    """One entry's link to the store has low bandwidth."""
     BACKEND_LIMITS = "backend_limits"
-    """One backend server names a limit on the requests that it takes."""
+    """One backend server announces a rate limit."""
 
 
-STRAINS = (SoakFault.CONFIGURE_LARGE, SoakFault.STORE_LINK_NARROW, SoakFault.BACKEND_LIMITS)
-"""Faults that break nothing: all promises hold for every entry while they last."""
+STRESS_FAULTS = (SoakFault.CONFIGURE_LARGE, SoakFault.STORE_LINK_NARROW, SoakFault.BACKEND_LIMITS)
+"""Faults that break nothing: all guarantees hold for every entry while they last."""
 
-FAILURES = tuple(each for each in SoakFault if each not in STRAINS)
+FAILURES = tuple(each for each in SoakFault if each not in STRESS_FAULTS)
 
-DISTURBS_ALL = frozenset(
+DISTURB_ALL_ENTRIES = frozenset(
     {
         SoakFault.STORE_SILENT,
         SoakFault.STORE_BUSY,
@@ -77,15 +81,15 @@
         SoakFault.STORE_FORGETS,
     }
 )
-"""Faults by which news of the store come late at every entry."""
+"""Faults that delay updates from the store at every entry."""
 
-STRIKES_ENTRY = frozenset({SoakFault.KILL_ENTRY, SoakFault.FREEZE_ENTRY, SoakFault.STOP_ENTRY})
-"""Faults that strike one entry itself."""
+ENTRY_FAULTS = frozenset({SoakFault.KILL_ENTRY, SoakFault.FREEZE_ENTRY, SoakFault.STOP_ENTRY})
+"""Faults that hit one entry process itself."""
 
-DISTURBS_ENTRY = STRIKES_ENTRY | {SoakFault.STORE_REFUSES_ONE, SoakFault.STORE_LINK_SILENT}
-"""Faults by which news of the store come late at one entry."""
+DISTURB_ONE_ENTRY = ENTRY_FAULTS | {SoakFault.STORE_REFUSES_ONE, SoakFault.STORE_LINK_SILENT}
+"""Faults that delay updates from the store at one entry."""
 
-CUTS_ANSWERS = frozenset(
+MAY_CUT_ANSWERS = frozenset(
     {
         SoakFault.KILL_ENTRY,
         SoakFault.FREEZE_ENTRY,
@@ -98,18 +102,18 @@
         SoakFault.BACKEND_LEAVES,
     }
 )
-"""Faults by which an answer may be cut that a planned stop alone would not cut."""
+"""Faults that may cut a response that a planned stop alone would not cut."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """One strike."""
+    """One injection of a fault."""
 
     at: float
     """Seconds from the start of the load."""
     kind: SoakFault
-    place: int
-    """Number that picks the process or link."""
+    target_index: int
+    """Number that selects the process or link, taken modulo their count."""
     seconds: float
 
 
@@ -119,16 +123,23 @@
     per_second: float,
     kinds: tuple[SoakFault, ...] = FAILURES,
 ) -> tuple[PlannedFault, ...]:
-    """Draw faults of some kinds over a length of time; they overlap as they fall."""
+    """Draw faults of the given kinds over `length` seconds; they may overlap."""
     faults: list[PlannedFault] = []
     if per_second <= 0.0:
         return ()
     at = random.expovariate(per_second)
     while at < length:
-        kind, place = random.choice(kinds), random.randrange(1_000)
-        strike_at = at
-        for _ in range(random.choice(SERIES)):
-            faults.append(PlannedFault(strike_at, kind, place, random.uniform(SHORTEST, LONGEST)))
-            strike_at += random.expovariate(1 / PAUSE)
+        kind, target_index = random.choice(kinds), random.randrange(1_000)
+        fault_at = at
+        for _ in range(random.choice(SERIES_LENGTHS)):
+            faults.append(
+                PlannedFault(
+                    fault_at,
+                    kind,
+                    target_index,
+                    random.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS),
+                )
+            )
+            fault_at += random.expovariate(1 / MEAN_SERIES_PAUSE)
         at += random.expovariate(per_second)
     return tuple(sorted((each for each in faults if each.at < length), key=lambda each: each.at))
--- a/tests/agent_harness.py
+++ b/tests/agent_harness.py
@@ -1,4 +1,4 @@
-"""An agent in this process, with real loopback sockets to a stand-in and to the test's entries."""
+"""An agent in the test process, with real loopback sockets to a stand-in and to entries."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 MODEL = "cake-1"
 LIMIT = 10.0
-"""Seconds after which a test that hangs fails; no verdict depends on it otherwise."""
+"""Seconds after which a hanging test fails; no test result depends on the value otherwise."""
 WINDOW = 262_144
 
 CONFIGURATION = Configuration(
@@ -65,7 +65,7 @@
 
 @dataclass
 class FixedSource:
-    """A configuration feed that knows one configuration from the start."""
+    """Configuration feed with one fixed configuration, available from the start."""
 
     current: Configuration | None = CONFIGURATION
     revision: int = 1
@@ -87,7 +87,7 @@
 
 @dataclass
 class Answer:
-    """What an entry has received of one request."""
+    """The part of the response to one request that an entry has received."""
 
     granted: bool = False
     head: ResponseHead | None = None
@@ -109,7 +109,7 @@
 
 
 class TestEntry:
-    """An entry that asks for what a test tells it, and keeps what comes."""
+    """Entry side of an agent connection: sends the test's messages and records what it receives."""
 
     __test__ = False
 
@@ -125,7 +125,7 @@
 
     async def read(self) -> None:
         async for message in self.connection:
-            self._take(message)
+            self._record(message)
             self._changed.set()
             self._changed = trio.Event()
             if isinstance(message, Chunks) and self.gives_credit:
@@ -133,7 +133,7 @@
                     await self.credit(chunk.request_id)
         self._changed.set()
 
-    def _take(self, message: Message) -> None:
+    def _record(self, message: Message) -> None:
         match message:
             case Granted(request_id):
                 self.answer(request_id).granted = True
@@ -144,7 +144,9 @@
             case Chunks(chunks):
                 for chunk in chunks:
                     answer = self.answer(chunk.request_id)
-                    assert chunk.sequence == len(answer.pieces), "pieces come once, in order"
+                    assert chunk.sequence == len(
+                        answer.pieces
+                    ), "chunks must arrive once and in order"
                     answer.pieces.append(chunk.data)
                     answer.tokens += chunk.tokens
             case End(request_id):
@@ -161,7 +163,7 @@
     async def until(self, condition: Callable[[], bool]) -> None:
         with trio.fail_after(LIMIT):
             while not condition():
-                assert self.connection.closed is None, "the connection closed"
+                assert self.connection.closed is None, "connection closed while waiting"
                 await self._changed.wait()
 
     async def reserve(self, request_id: str, **fields) -> None:
@@ -206,7 +208,7 @@
         await self.connection.send(Withdraw(request_id))
 
     async def order(self, request_id: str, method: str = "POST", path: str = "/orders", **fields):
-        """Reserve, wait for the grant, and send a call of the order desk."""
+        """Reserve, wait for the grant, and send a request to the order desk."""
         await self.granted(request_id, **({"idempotent": method == "GET"} | fields))
         await self.connection.send(Submit(request_id, method, path, (), b"{}"))
 
@@ -221,7 +223,7 @@
 
 @dataclass
 class Bench:
-    """An agent, its stand-in, and a way to connect to it."""
+    """A running agent with its backend stand-in, and a method to connect entries to it."""
 
     app: AgentApp
     wire: str
@@ -279,7 +281,7 @@
     members=None,
     **tables,
 ) -> AsyncIterator[Bench]:
-    """Run a stand-in and an agent beside it."""
+    """Run a backend stand-in and an agent in front of it."""
     engine_standin = EngineStandIn(engine or EngineSettings(step_seconds=0.002), (MODEL,))
     desk = OrderDeskStandIn(work_seconds=0.0)
     async with trio.open_nursery() as nursery:
@@ -301,11 +303,11 @@
         wire: list[str] = []
         listen = app._listen
 
-        async def noted_listen() -> str:
+        async def listen_and_record() -> str:
             wire.append(await listen())
             return wire[0]
 
-        app._listen = noted_listen
+        app._listen = listen_and_record
         bench = Bench(app, "", nursery, scope, engine_standin, desk)
 
         async def run(task_status: trio.TaskStatus[None]) -> None:
--- a/tests/entry_bench.py
+++ b/tests/entry_bench.py
@@ -1,4 +1,4 @@
-"""An entry in the test's own loop, with fakes at its interfaces."""
+"""Test harness: an entry in the test's event loop, with fakes for feeds and agents."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 @dataclass
 class FakeConfigurationFeed:
-    """A configuration that the test sets."""
+    """Configuration feed whose content the test sets."""
 
     current: Configuration | None = CONFIGURATION
     state: FoldState = field(default_factory=FoldState)
@@ -106,7 +106,7 @@
 
 
 class FakeMembershipFeed:
-    """A membership list that the test sets."""
+    """Membership feed whose content the test sets."""
 
     def __init__(self) -> None:
         self.current = Members(0, {})
@@ -134,7 +134,7 @@
 
 
 class FakeAgent:
-    """The agent's side of a connection, played by the test."""
+    """Agent side of a connection, controlled by the test."""
 
     def __init__(self, name: str, kind: BackendKind, target: str) -> None:
         self.hello = AgentHello(f"{name}/1", "suva", kind, (target,), revision=3)
@@ -152,7 +152,7 @@
         await trio.serve_listeners(self._talk, listeners)
 
     async def next(self, message_type: type[MessageT]) -> MessageT:
-        """Return the next message of a type; others that come first are kept."""
+        """Return the next message of a type; keep other messages for later calls."""
         with trio.fail_after(5):
             while True:
                 for index, seen in enumerate(self._seen):
@@ -165,7 +165,7 @@
         await self.connection.send(message)
 
     async def grant(self) -> Submit:
-        """Grant the next reservation and return the body that comes for it."""
+        """Grant the next reservation and return the request submitted for it."""
         reserve = await self.next(Reserve)
         await self.send(Granted(reserve.request_id, timedelta(seconds=1)))
         return await self.next(Submit)
@@ -176,13 +176,13 @@
     async def answer(
         self, request_id: str, data: bytes, status: int = 200, outcome: Outcome | None = None
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         await self.send(ResponseHead(request_id, status, ()))
         await self.chunk(request_id, 0, data)
         await self.send(End(request_id, 1, outcome or Completed(1)))
 
     async def cut(self) -> None:
-        """Break the connection."""
+        """Close the connection abruptly."""
         assert self.connection is not None
         await self.connection.close()
 
@@ -199,8 +199,8 @@
 
 
 @dataclass(frozen=True)
-class Answered:
-    """An HTTP answer read whole."""
+class HttpAnswer:
+    """A complete HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -211,7 +211,7 @@
 
 
 class Bench:
-    """A running entry and a client of it."""
+    """A running entry and an HTTP client for it."""
 
     def __init__(self, app: EntryApp, feed: FakeConfigurationFeed, members: FakeMembershipFeed):
         self.app = app
@@ -231,14 +231,14 @@
         body: Any = b"",
         headers: dict[str, str] | None = None,
         listener: str = "http",
-    ) -> Answered:
+    ) -> HttpAnswer:
         content = body if isinstance(body, bytes) else msgspec.json.encode(body)
         sent = AUTHORIZED if headers is None else headers
         response = await self.http.request(
             method, self.url(path, listener), headers=sent, content=content
         )
         names = {name.decode().lower(): value.decode() for name, value in response.headers}
-        return Answered(response.status, names, response.content)
+        return HttpAnswer(response.status, names, response.content)
 
     @asynccontextmanager
     async def stream(self, body: Any = None) -> AsyncIterator[AsyncIterator[bytes]]:
@@ -251,7 +251,7 @@
 
     async def wait_until(self, condition: Any) -> None:
         with trio.fail_after(5):
-            while not condition():  # noqa: ASYNC110 - conditions of the app have no event
+            while not condition():  # noqa: ASYNC110 - the app has no event for these conditions
                 await trio.sleep(0.002)
 
     async def add_agent(
@@ -282,7 +282,7 @@
 
 @asynccontextmanager
 async def running_entry(**changes: Any) -> AsyncIterator[Bench]:
-    """Run an entry; `changes` are made to its settings."""
+    """Run an entry whose default settings are overridden by `changes`."""
     assert isinstance(SETTINGS, EntrySettings)
     feed, members = FakeConfigurationFeed(), FakeMembershipFeed()
     app = EntryApp(replace(SETTINGS, **changes), feed, members)
@@ -290,15 +290,15 @@
     async with trio.open_nursery() as nursery:
         mount = app.mount
 
-        async def mount_and_note() -> Any:
+        async def mount_and_record() -> Any:
             bench.listen = dict(await mount())
             return bench.listen
 
-        async def run_and_note(task_status: trio.TaskStatus[None]) -> None:
+        async def run_and_record(task_status: trio.TaskStatus[None]) -> None:
             bench.exit_code = await app.run(task_status)
 
-        app.mount = mount_and_note  # type: ignore[method-assign]
-        await nursery.start(run_and_note)
+        app.mount = mount_and_record  # type: ignore[method-assign]
+        await nursery.start(run_and_record)
         try:
             yield bench
         finally:
--- a/tests/test_fault_seeds.py
+++ b/tests/test_fault_seeds.py
@@ -1,4 +1,4 @@
-"""Seeds of the fault runner that once showed a fault; each stays, so that it does not come back."""
+"""Regression tests: seeds of the fault runner that once exposed a defect."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_no_promise_is_broken(seed: int, tmp_path) -> None:
-    """Random faults hit a site while callers stream answers and submit orders.
+async def test_random_faults_cause_no_violation(seed: int, tmp_path) -> None:
+    """Random faults hit a site while callers stream chats and submit orders.
 
-    Nothing may run twice, be told wrongly, be cut off or be left without an end, and the site must
-    serve again afterwards.
+    No request may run twice, get a false outcome, be cut off or never end, and the site must serve
+    again afterwards.
     """
     with trio.fail_after(150):
         result = await run_faults(seed, tmp_path)
--- a/tests/test_hang_up.py
+++ b/tests/test_hang_up.py
@@ -1,4 +1,4 @@
-"""A caller that hangs up, over real processes."""
+"""Tests a caller that disconnects during a stream, with real processes."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
     from ragwortwing_lab.site import Site
 
-ENDLESS = 1_000_000
-GUARD_SECONDS = 10
+ENDLESS_TOKENS = 1_000_000
+TEST_TIMEOUT_SECONDS = 10
 POLL_SECONDS = 0.02
 
 
-async def wait_cancelled(site: Site) -> None:
+async def wait_for_cancellation(site: Site) -> None:
     while not (await site.state("engine-0"))["cancelled_by_id"]:
         await trio.sleep(POLL_SECONDS)
 
 
-async def test_a_hang_up_stops_the_engine(tmp_path: Path) -> None:
-    """A buyer reads the first word of a long answer and closes the page.
+async def test_engine_stops_when_the_caller_disconnects(tmp_path: Path) -> None:
+    """A caller reads the first event of a long stream and closes the connection.
 
-    The entry sees the closed connection and withdraws, the agent closes its call, the engine stops.
-    Without that the engine would write a million tokens that nobody reads.
+    The entry must withdraw the request, and the agent must close its call so that the engine stops.
+    Otherwise the engine generates a million tokens that nobody reads.
     """
     async with running_site(SiteShape(entries=1, engines=1, desks=0), tmp_path) as site:
         entry = site.process_by_name["entry-0"].listen["http"]
-        await read_stream(entry, 1, ENDLESS, ReadCounts(), lambda: True)
-        with trio.fail_after(GUARD_SECONDS):
-            await wait_cancelled(site)
+        await read_stream(entry, 1, ENDLESS_TOKENS, ReadCounts(), lambda: True)
+        with trio.fail_after(TEST_TIMEOUT_SECONDS):
+            await wait_for_cancellation(site)
         state = await site.state("engine-0")
         assert state["running"] == 0
         assert state["finished_by_id"] == {}
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows a header, call or field of the users' platform."""
+"""Checks that no code outside the adapter uses headers, calls or fields of the users' platform."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return [file for file in files if "standins" not in file.parts]
 
 
-def test_the_product_does_not_name_the_platform() -> None:
+def test_packages_do_not_use_platform_names() -> None:
     found = [
         f"{file.relative_to(ROOT)}:{number}: {match.group()}"
         for file in product_files()
@@ -39,15 +39,15 @@
     assert found == []
 
 
-def test_the_check_sees_what_it_is_for() -> None:
+def test_platform_adapter_matches_the_name_pattern() -> None:
     adapter = "".join(
         file.read_text(encoding="utf-8") for file in ROOT.glob("platform/src/**/*.py")
     )
     assert len({name.lower() for name in NAMES.findall(adapter)}) > 20
 
 
-def test_the_adapter_is_a_small_folder_that_shadows_nothing() -> None:
-    """A `platform/__init__.py` at the root would take the place of Python's own module."""
+def test_platform_adapter_is_small_and_shadows_no_module() -> None:
+    """A `platform/__init__.py` at the root would shadow the `platform` module of Python."""
     assert not (ROOT / "platform" / "__init__.py").exists()
     lines = sum(
         len(file.read_text(encoding="utf-8").splitlines())
--- a/tests/test_site_leaves_nothing.py
+++ b/tests/test_site_leaves_nothing.py
@@ -1,4 +1,4 @@
-"""A site ends every process that it started."""
+"""Tests that a site ends every process that it started."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from ragwortwing_lab.site import SiteShape, running_site
 
-LIMIT = 30.0
-"""Seconds after which the test fails instead of hanging."""
+EXIT_TIMEOUT = 30.0
+"""Seconds after which the test fails if the old proxy has not exited."""
 
 
-async def test_a_replaced_proxy_ends(tmp_path) -> None:
-    """An agent is killed and comes back behind a new proxy of the same name.
+async def test_replaced_proxy_exits(tmp_path) -> None:
+    """A killed agent restarts behind a new proxy of the same name.
 
-    The old proxy is known to nobody then; it used to run on after the site, a process for each
-    agent that the fault runner replaced.
+    The site no longer tracked the old proxy, which kept running after the site had stopped: one
+    leaked process for each agent that the fault runner replaced.
     """
     async with running_site(
         SiteShape(entries=1, engines=1, desks=0, proxied=True), tmp_path
@@ -25,6 +25,6 @@
         await agent.wait_dead()
         await site.start_agent("engine", 0)
         assert site.process_by_name["proxy-agent-engine-0"] is not before
-        with trio.fail_after(LIMIT):
+        with trio.fail_after(EXIT_TIMEOUT):
             await before.wait_dead()
     assert before.handle.poll() is not None
--- a/tests/test_streams_survive.py
+++ b/tests/test_streams_survive.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, whatever breaks behind the entry."""
+"""Tests that a caller gets the complete stream for its request, whatever fails behind the entry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,14 @@
 from dataclasses import replace
 
 import trio
-from site_callers import Callers, end, executions, site_callers, until, until_told
+from site_callers import (
+    Callers,
+    executions,
+    site_callers,
+    wait_for_answer,
+    wait_until,
+    wait_until_async,
+)
 
 from ragwortwing_lab.site import SiteShape
 from ragwortwing_lab.standins.generation import answer_text
@@ -14,27 +21,27 @@
 PROXIED = SiteShape(entries=2, engines=2, desks=0, proxied=True)
 ONE_SLOT = ("--slots", "1")
 TOKENS = 120
-SOME_EVENTS = 15
+EVENTS_BEFORE_FAULT = 15
 
 
 def prompt(name: str) -> str:
     return f"{name} [tokens={TOKENS}]"
 
 
-def assert_whole(answer, text: str) -> None:
+def assert_complete(answer, text: str) -> None:
     assert answer.outcomes == ["completed"]
     assert answer.text == answer_text(text, TOKENS)
 
 
-async def silence(callers: Callers, index: int) -> None:
-    """Let the open connections to an agent go silent for good, while new ones work."""
+async def silence_connections(callers: Callers, index: int) -> None:
+    """Silence the open connections to an agent permanently; new connections work."""
     proxy = f"proxy-agent-engine-{index}"
     await callers.site.fault(proxy, "silent")
     await callers.site.clear(proxy)
 
 
-async def engine_of(callers: Callers, count: int = 1) -> int:
-    """Return the index of an engine that runs at least some requests."""
+async def busy_engine(callers: Callers, count: int = 1) -> int:
+    """Return the index of an engine that runs at least `count` requests."""
     busy: list[int] = []
 
     async def found() -> bool:
@@ -43,89 +50,87 @@
                 busy.append(index)
         return bool(busy)
 
-    await until_told(found)
+    await wait_until_async(found)
     return busy[0]
 
 
-async def test_connection_is_reset(tmp_path) -> None:
-    """The connection between entry and agent is reset in the middle of an answer.
+async def test_stream_resumes_after_a_connection_reset(tmp_path) -> None:
+    """The connection between entry and agent is reset during a stream.
 
-    The entry dials again and goes on from the piece it has; the caller sees no gap and no repeat,
-    and the engine generates the answer once.
+    The entry must reconnect and resume after the last received chunk. The caller sees no gap and no
+    repetition, and the engine generates the text once.
     """
     async with site_callers(tmp_path, PROXIED) as callers:
         text = prompt("reset")
         call = callers.chat(text)
-        await until(lambda: call.events >= SOME_EVENTS)
-        index = await engine_of(callers)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        index = await busy_engine(callers)
         await callers.site.fault(f"proxy-agent-engine-{index}", "cut")
-        assert_whole(await end(call), text)
+        assert_complete(await wait_for_answer(call), text)
         assert len(executions(callers.site, "engine")) == 1
 
 
-async def test_connection_goes_silent(tmp_path) -> None:
-    """Something between entry and agent loses track of the connection: nothing comes, no error.
+async def test_stream_resumes_after_a_connection_goes_silent(tmp_path) -> None:
+    """The connection between entry and agent stops delivering data without an error.
 
-    Heartbeats show it, a new connection works, and the answer goes on where it stopped.
+    Missing heartbeats must reveal it, and the stream must resume on a new connection where it
+    stopped.
     """
     async with site_callers(tmp_path, PROXIED) as callers:
         text = prompt("silent")
         call = callers.chat(text)
-        await until(lambda: call.events >= SOME_EVENTS)
-        index = await engine_of(callers)
-        await silence(callers, index)
-        assert_whole(await end(call), text)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        index = await busy_engine(callers)
+        await silence_connections(callers, index)
+        assert_complete(await wait_for_answer(call), text)
 
 
-async def test_engine_is_killed(tmp_path) -> None:
-    """The engine crashes in the middle of an answer.
+async def test_stream_resumes_after_the_engine_is_killed(tmp_path) -> None:
+    """The engine crashes during a stream.
 
-    The answer goes on from another engine after the text that the caller has.
+    Another engine must continue the stream after the text that the caller already has.
     """
     async with site_callers(tmp_path, PROXIED) as callers:
         text = prompt("engine")
         call = callers.chat(text)
-        await until(lambda: call.events >= SOME_EVENTS)
-        callers.site.process_by_name[f"engine-{await engine_of(callers)}"].kill()
-        assert_whole(await end(call), text)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        callers.site.process_by_name[f"engine-{await busy_engine(callers)}"].kill()
+        assert_complete(await wait_for_answer(call), text)
 
 
-async def test_agent_is_killed(tmp_path) -> None:
-    """The agent beside the engine is killed in the middle of an answer.
-
-    The entry loses the agent, not the answer: it is resumed on another engine.
-    """
+async def test_stream_resumes_after_the_agent_is_killed(tmp_path) -> None:
+    """The engine's agent is killed during a stream; the stream must resume on another engine."""
     async with site_callers(tmp_path, PROXIED) as callers:
         text = prompt("agent")
         call = callers.chat(text)
-        await until(lambda: call.events >= SOME_EVENTS)
-        callers.site.process_by_name[f"agent-engine-{await engine_of(callers)}"].kill()
-        assert_whole(await end(call), text)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        callers.site.process_by_name[f"agent-engine-{await busy_engine(callers)}"].kill()
+        assert_complete(await wait_for_answer(call), text)
 
 
-async def test_engine_and_connection_fail_together(tmp_path) -> None:
-    """The engine crashes and the other agent's connections go silent at the same moment."""
+async def test_stream_resumes_after_engine_and_connection_fail_together(tmp_path) -> None:
+    """The engine crashes while the other agent's connections go silent."""
     async with site_callers(tmp_path, PROXIED) as callers:
         text = prompt("both")
         call = callers.chat(text)
-        await until(lambda: call.events >= SOME_EVENTS)
-        index = await engine_of(callers)
-        await silence(callers, 1 - index)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        index = await busy_engine(callers)
+        await silence_connections(callers, 1 - index)
         callers.site.process_by_name[f"engine-{index}"].kill()
-        assert_whole(await end(call), text)
+        assert_complete(await wait_for_answer(call), text)
 
 
-async def test_planned_stop_of_an_agent(tmp_path) -> None:
-    """An operator replaces the VM of an agent while an answer runs there.
+async def test_planned_agent_stop_completes_running_streams(tmp_path) -> None:
+    """An agent is stopped as planned during a stream, as when its VM is replaced.
 
-    The answer ends whole, the process exits in good order, and new requests go elsewhere.
+    The stream must complete, the process must exit with code 0, and new requests must go elsewhere.
     """
     async with site_callers(tmp_path, PROXIED) as callers:
         site = callers.site
         text = prompt("stop")
         call = callers.chat(text)
-        await until(lambda: call.events >= SOME_EVENTS)
-        index = await engine_of(callers)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        index = await busy_engine(callers)
         codes: list[int | None] = []
 
         async def stop() -> None:
@@ -134,38 +139,40 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stop)
             later = [callers.chat(prompt(f"later {number}")) for number in range(3)]
-            assert_whole(await end(call), text)
+            assert_complete(await wait_for_answer(call), text)
             for number, each in enumerate(later):
-                assert_whole(await end(each), prompt(f"later {number}"))
+                assert_complete(await wait_for_answer(each), prompt(f"later {number}"))
         assert codes == [0]
-        ran_there = site.journal_path(f"engine-{index}").read_bytes().count(b"\n")
-        assert ran_there == 1
+        execution_count = site.journal_path(f"engine-{index}").read_bytes().count(b"\n")
+        assert execution_count == 1
 
 
-async def test_planned_stop_of_an_entry(tmp_path) -> None:
-    """An operator replaces an entry's VM while it streams answers: none is cut off."""
+async def test_planned_entry_stop_completes_running_streams(tmp_path) -> None:
+    """An entry is stopped as planned during streams; none may be cut off."""
     async with site_callers(tmp_path, PROXIED) as callers:
         texts = [prompt(f"stop {number}") for number in range(4)]
         calls = [callers.chat(text) for text in texts]
-        await until(lambda: all(call.events >= SOME_EVENTS for call in calls))
+        await wait_until(lambda: all(call.events >= EVENTS_BEFORE_FAULT for call in calls))
         assert await callers.site.process_by_name["entry-0"].stop() == 0
         for call, text in zip(calls, texts, strict=True):
-            assert_whole(await end(call), text)
+            assert_complete(await wait_for_answer(call), text)
 
 
-async def test_list_says_that_an_agent_leaves(tmp_path) -> None:
-    """An agent stops while an answer runs there, and nothing that it says reaches the entries: the
-    list of VMs, not the agent, is the first to say that it leaves.
+async def test_agent_listed_as_leaving_gets_no_new_requests(tmp_path) -> None:
+    """An agent stops during a stream, but its messages do not reach the entries.
 
-    Once the entries have read it, the agent beside that VM's engine gets nothing new.
+    The entries learn from the membership list of VMs, not from the agent, that it is leaving. From
+    then on, they must send it no new requests.
     """
-    patient = {"connections": {"heartbeat_timeout": "60s"}}
-    shape = replace(PROXIED, entry_settings=patient, agent_settings=patient)
+    long_heartbeat_timeout = {"connections": {"heartbeat_timeout": "60s"}}
+    shape = replace(
+        PROXIED, entry_settings=long_heartbeat_timeout, agent_settings=long_heartbeat_timeout
+    )
     async with site_callers(tmp_path, shape) as callers:
         site = callers.site
         call = callers.chat("held [tokens=4000]")
-        await until(lambda: call.events >= SOME_EVENTS)
-        index = await engine_of(callers)
+        await wait_until(lambda: call.events >= EVENTS_BEFORE_FAULT)
+        index = await busy_engine(callers)
         name = f"agent-engine-{index}"
         await site.fault(f"proxy-{name}", "silent", direction="to_client")
         site.process_by_name[name].handle.send_signal(signal.SIGTERM)
@@ -180,18 +187,18 @@
                     return False
             return True
 
-        await until_told(known_as_leaving)
+        await wait_until_async(known_as_leaving)
         for number in range(6):
             text = prompt(f"leaving {number}")
-            assert_whole(await end(callers.chat(text, entry=number % 2)), text)
+            assert_complete(await wait_for_answer(callers.chat(text, entry=number % 2)), text)
         assert site.journal_path(f"engine-{index}").read_bytes().count(b"\n") == 1
 
 
-async def test_urgent_request_takes_the_slot_of_a_draft(tmp_path) -> None:
-    """A baker's long draft holds the only slot when a buyer's chat comes.
+async def test_urgent_request_preempts_a_draft(tmp_path) -> None:
+    """A chat arrives while a long draft holds the only slot.
 
-    The chat is answered first; the draft goes on after it and is whole, and the engine generated
-    little twice.
+    The chat must be served first. The draft must then resume and complete; the engine regenerates
+    little of it.
     """
     shape = SiteShape(
         entries=1,
@@ -203,11 +210,11 @@
     async with site_callers(tmp_path, shape) as callers:
         draft_text = "a long menu [tokens=400]"
         draft = callers.chat(draft_text, request_class="draft")
-        await until(lambda: draft.events >= SOME_EVENTS)
+        await wait_until(lambda: draft.events >= EVENTS_BEFORE_FAULT)
         chat_text = prompt("urgent")
         chat = callers.chat(chat_text)
-        assert_whole(await end(chat), chat_text)
+        assert_complete(await wait_for_answer(chat), chat_text)
         assert not draft.ended.is_set()
-        answer = await end(draft)
+        answer = await wait_for_answer(draft)
         assert answer.outcomes == ["completed"]
         assert answer.text == answer_text(draft_text, 400)
