--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/checks.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/checks.py
@@ -214,9 +214,7 @@
         return _stream_fault(attempt.request_id, response)
     expected = {f"{attempt.request_id} by {backend}".encode() for backend in backend_ids}
     return (
-        None
-        if response.body in expected or not response.whole
-        else f"body {response.body[:60]!r}"
+        None if response.body in expected or not response.whole else f"body {response.body[:60]!r}"
     )
 
 
