--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/__init__.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: functions of a seed, registered by name, whose results render as table and JSON."""
+"""Seeded experiments, registered by name, with results that render as tables or JSON."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/account_limits.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/account_limits.py
@@ -1,4 +1,7 @@
-"""How closely the entries together keep an account's limits, by how its calls are spread."""
+"""Measures how closely the entries together enforce an account's limits.
+
+The result depends on how the account's calls are spread over the entries.
+"""
 
 from __future__ import annotations
 
@@ -16,19 +19,19 @@
 RATE = 30.0
 CONCURRENCY = 60
 OFFERED_RATE = 3 * RATE
-"""Requests a second that the account sends."""
+"""Requests per second that the account sends."""
 
 HOLD_SECONDS = 4.0
-"""Time a request is in flight."""
+"""Seconds that each request is in flight."""
 
 REPORT_SECONDS = 1.0
-"""Interval at which the entries hear what agents see, one interval old."""
+"""Interval in seconds at which entries receive usage reports, each one interval old."""
 
-STEP = 0.01
-DURATION = 60.0
+STEP_SECONDS = 0.01
+DURATION_SECONDS = 60.0
 
 Spread = Callable[[float, Random], int]
-"""Picks the entry that a request reaches."""
+"""Selects the entry that receives a request."""
 
 SPREADS: dict[str, Spread] = {
     "even": lambda _, random: random.randrange(ENTRIES),
@@ -39,25 +42,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitsKept:
-    """What the entries together admitted under one spread, against the limits."""
+class AdmittedUsage:
+    """Usage that the entries together admitted under one spread, relative to the limits."""
 
     spread: str
     rate_share: float
-    """Mean rate over the limit's."""
+    """Mean admitted rate divided by the rate limit."""
     worst_rate_share: float
-    """Largest rate over any 5 s over the limit's, after the first burst."""
+    """Highest rate in any 5 s divided by the rate limit, ignoring the initial burst."""
     concurrency_share: float
-    """Mean requests in flight over the limit."""
+    """Mean requests in flight divided by the concurrency limit."""
     worst_concurrency_share: float
 
 
 @dataclass(frozen=True, slots=True)
 class AccountLimits:
-    """Limits kept by spread."""
+    """Admitted usage by spread."""
 
     seed: int
-    by_spread: tuple[LimitsKept, ...]
+    by_spread: tuple[AdmittedUsage, ...]
 
     def render(self) -> str:
         """Return the shares as a table."""
@@ -72,18 +75,18 @@
 
 @experiment("account_limits")
 def run(seed: int) -> AccountLimits:
-    """An account that sends three times its limit, spread evenly or not over three entries."""
-    return AccountLimits(seed, tuple(_kept(name, seed) for name in SPREADS))
+    """An account that sends three times its limit, spread evenly or unevenly over three entries."""
+    return AccountLimits(seed, tuple(_measure(name, seed) for name in SPREADS))
 
 
-def _kept(spread: str, seed: int) -> LimitsKept:
+def _measure(spread: str, seed: int) -> AdmittedUsage:
     by_rate = _Site(ClientAccount("a", requests_per_second=RATE), spread, seed)
     rates = by_rate.admitted_by_second()
     windows = [sum(rates[at : at + 5]) / 5 for at in range(5, len(rates) - 5)]
     by_concurrency = _Site(ClientAccount("a", concurrency=CONCURRENCY), spread, seed)
     by_concurrency.admitted_by_second()
     in_flight = by_concurrency.in_flight_by_second
-    return LimitsKept(
+    return AdmittedUsage(
         spread,
         sum(rates[5:]) / len(rates[5:]) / RATE,
         max(windows) / RATE,
@@ -93,7 +96,7 @@
 
 
 class _Site:
-    """Entries under one account's calls, with reports of what agents saw a second ago."""
+    """Entries that serve one account, with usage reports that are one interval old."""
 
     def __init__(self, account: ClientAccount, spread: str, seed: int) -> None:
         configuration = Configuration(
@@ -110,20 +113,20 @@
 
     def admitted_by_second(self) -> list[int]:
         admitted: list[int] = []
-        for second in range(int(DURATION / REPORT_SECONDS)):
+        for second in range(int(DURATION_SECONDS / REPORT_SECONDS)):
             if second > 1:
                 usage = AccountUsage("a", self.in_flight_by_second[-2], float(admitted[-2]))
                 for limiter in self._limiters:
                     limiter.observed(usage, second * REPORT_SECONDS)
-            steps = range(round(REPORT_SECONDS / STEP))
-            admitted.append(sum(self._step(second + each * STEP) for each in steps))
+            steps = range(round(REPORT_SECONDS / STEP_SECONDS))
+            admitted.append(sum(self._step(second + each * STEP_SECONDS) for each in steps))
             self.in_flight_by_second.append(len(self._ends))
         return admitted
 
     def _step(self, now: float) -> int:
         while self._ends and self._ends[0][0] <= now:
             self._limiters[self._ends.popleft()[1]].release("a", now)
-        if self._random.random() > OFFERED_RATE * STEP:
+        if self._random.random() > OFFERED_RATE * STEP_SECONDS:
             return 0
         entry = self._spread(now, self._random)
         if self._limiters[entry].admit("a", now) is not None:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes of state, messages, processor time and memory, and their sums at the size we build for."""
+"""Measures how state, messages, CPU time and memory scale, and extrapolates to the target size."""
 
 from __future__ import annotations
 
@@ -48,27 +48,27 @@
 NOW = 1_000.0
 DRAFT_TIER = 5
 AGENTS = 790
-BYTES_A_TOKEN = 190
-"""Bytes of one token's event, as the engine stand-in writes it."""
+BYTES_PER_TOKEN = 190
+"""Size of one token's event as written by the stand-in engine."""
 LOAD = LoadReport(16, 4, 16, timedelta(milliseconds=120))
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """Every slope, every message's cost, and the sums beside their budgets."""
+    """All slopes, message costs and extrapolated totals with their budgets."""
 
     slopes: tuple[Slope, ...]
     messages: tuple[MessageCost, ...]
     lines: tuple[BudgetLine, ...]
 
     def render(self) -> str:
-        """Return the three tables."""
+        """Return the tables of slopes, messages and budgets."""
         return render_tables(self.slopes, self.messages, self.lines)
 
 
 @experiment("capacity")
 def run(seed: int) -> Capacity:
-    """Slopes of state, messages, processor time and memory; sums at the target size."""
+    """Slopes of state, messages, CPU time and memory; totals at the target size."""
     slopes = tuple(measure(seed) for measure in SLOPES)
     messages = tuple(_message_cost(each) for each in _sample_messages())
     lines = budget({each.name: each for each in slopes}, messages, TargetSize())
@@ -76,7 +76,7 @@
 
 
 def configuration(accounts: int, models: int = 27) -> Configuration:
-    """Return a configuration of a size."""
+    """Return a configuration with the given numbers of accounts and models."""
     classes = {f"class-{tier}": RequestClass(f"class-{tier}", tier) for tier in range(6)}
     return Configuration(
         revision=1,
@@ -126,7 +126,7 @@
 
 
 def _filled_scheduler(size: int) -> Scheduler:
-    patient = RequestClass(
+    long_wait_class = RequestClass(
         "draft",
         DRAFT_TIER,
         first_token_target=timedelta(days=1),
@@ -135,7 +135,7 @@
     )
     scheduler = Scheduler(
         SchedulerSettings(),
-        replace(configuration(0), classes_by_name={"draft": patient}),
+        replace(configuration(0), classes_by_name={"draft": long_wait_class}),
     )
     for index in range(size):
         scheduler.offer(_reservation(f"request-{index}"), NOW)
@@ -151,10 +151,10 @@
         shared = configuration(size)
 
         def limiter() -> AccountLimiter:
-            made = AccountLimiter(shared, entries=340)
+            filled = AccountLimiter(shared, entries=340)
             for name in shared.accounts_by_name:
-                made.admit(name, NOW)
-            return made
+                filled.admit(name, NOW)
+            return filled
 
         return limiter
 
@@ -265,11 +265,11 @@
 def _request_memory(seed: int) -> Slope:
     def build(size: int) -> list[Dispatch]:
         router = _filled_router(seed, 16)
-        budget_of_entry = RetryBudget()
+        retry_budget = RetryBudget()
         dispatches = []
         for request_id in _names("request", size):
             query = RouteQuery(request_id, "model-00001", BackendKind.ENGINE)
-            dispatch = Dispatch(query, router, budget_of_entry, NOW + 60.0)
+            dispatch = Dispatch(query, router, retry_budget, NOW + 60.0)
             dispatch.on_start(NOW)
             dispatches.append(dispatch)
         return dispatches
@@ -318,15 +318,15 @@
 def _subset_cpu(_: int) -> Slope:
     def cost(size: int) -> float:
         entries = _names("entry", size)
-        wanted = subset_size(size, AGENTS)
+        target_size = subset_size(size, AGENTS)
         calls = count()
 
-        def assign_anew() -> None:
-            # Another name of an entry each time, so that nothing is remembered.
-            everyone = [*entries[1:], f"entry-new-{next(calls)}"]
-            subset(entries[1], everyone, _subset_agents(), wanted)
+        def reassign() -> None:
+            # A new entry name on every call defeats caching.
+            changed_entries = [*entries[1:], f"entry-new-{next(calls)}"]
+            subset(entries[1], changed_entries, _subset_agents(), target_size)
 
-        return cpu_microseconds(assign_anew)
+        return cpu_microseconds(reassign)
 
     return fit("entry: subset after an entry changed, by entry", "µs", (85, 170, 340), cost)
 
@@ -334,13 +334,13 @@
 def _subset_after_agent_cpu(_: int) -> Slope:
     def cost(size: int) -> float:
         entries = _names("entry", size)
-        wanted = subset_size(size, AGENTS)
+        target_size = subset_size(size, AGENTS)
         calls = count()
 
         def replace_agent() -> None:
             agents = _subset_agents()
             agents[7] = replace(agents[7], agent_id=f"agent-new-{next(calls)}")
-            subset(entries[0], entries, agents, wanted)
+            subset(entries[0], entries, agents, target_size)
 
         replace_agent()
         return cpu_microseconds(replace_agent)
@@ -375,20 +375,20 @@
     _changed_account_cpu,
     _preset_switch_cpu,
 )
-"""Each measures one slope from a seed."""
+"""Functions that each measure one slope, given a seed."""
 
 
 def _sample_messages() -> tuple[object, ...]:
     request_id = "0123456789abcdef01234567"
-    piece = Chunk(request_id, 40, b"x" * BYTES_A_TOKEN, 1)
+    chunk = Chunk(request_id, 40, b"x" * BYTES_PER_TOKEN, 1)
     return (
         Heartbeat(12_345, 1_600, LOAD),
         Reserve(request_id, "class-0", "account-1", "model-1", timedelta(seconds=30), 200, 300, 7),
         Granted(request_id, timedelta(seconds=1)),
         Withdraw(request_id),
         Credit(request_id, 41, 190),
-        Chunks((piece,)),
-        Chunks((piece,) * 16),
+        Chunks((chunk,)),
+        Chunks((chunk,) * 16),
     )
 
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity_budget.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity_budget.py
@@ -1,4 +1,4 @@
-"""The sums at the size we build for, worked out from measured slopes."""
+"""Extrapolates measured slopes to resource totals at the target size."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 HEARTBEATS = "all: heartbeats of a second at one end, one each way, by connection"
 CONNECTION = "all: memory of a connection's end"
 BASE_MEMORY_BYTES = 53e6
-"""Resident memory of an idle entry or agent; measured by the experiment `relay`."""
+"""Resident memory of an idle entry or agent, as measured by the `relay` experiment."""
 CONTROL_MEMORY_LIMIT = 64e6
 CONTROL_BYTES_LIMIT = 22_000.0
 CONTROL_CPU_LIMIT = 0.025
-CHANGES_A_REPLACEMENT = 2
-"""A VM goes from the list and its successor comes."""
+CHANGES_PER_REPLACEMENT = 2
+"""A replacement removes one VM from the list and adds another."""
 
 BETWEEN_TOKENS_LIMIT = 0.045
-"""Seconds for which nothing may stop the loop that relays tokens."""
+"""Longest time, in seconds, that the token relay loop may be blocked."""
 APPENDS_LIMIT = 300.0
-"""Appends a second that the platform's log takes; "several hundred", so the low end."""
+"""Appends per second of the platform's log, specified as "several hundred": the low end."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetSize:
-    """The size of two years from now."""
+    """Deployment size expected in two years."""
 
     entries: int = 340
     agents: int = 790
@@ -40,29 +40,31 @@
     tokens_per_second: float = 3.6e6
     accounts: int = 3_500
     models: int = 27
-    agents_of_a_model: int = 3
-    """Agents of each model that an entry must be connected to, so that it can serve the model when
-    one is lost and another is full."""
-    configuration_changes_a_day: int = 1_600
-    replaced_a_day: int = 112
-    """VMs that fail and VMs that are replaced."""
+    agents_per_model: int = 3
+    """Agents per model that an entry connects to.
+
+    Three allow it to serve the model when one agent is lost and another is full.
+    """
+    configuration_changes_per_day: int = 1_600
+    replacements_per_day: int = 112
+    """VMs replaced per day, including failed ones."""
     heartbeat_interval: float = 2.0
-    """Seconds between two heartbeats each way at this size."""
+    """Seconds between heartbeats in each direction at this size."""
     order_share: float = 0.1
-    """Share of requests that are keyed orders; an assumption, no user has said."""
+    """Share of requests that are keyed orders; an assumption, not confirmed by any user."""
     order_window: float = 3_600.0
-    """Seconds for which keys are held at this size."""
+    """Seconds for which order keys are retained at this size."""
     service_agents: int = 80
-    """Agents beside plain services; an assumption, as today a quarter to a half are."""
+    """Agents of plain services; an assumption, as today they are a quarter to a half of all."""
     preset_share: float = 0.9
-    """Share of configuration changes that are small records; an assumption."""
+    """Share of configuration changes that are preset switches (small records); an assumption."""
     accounts_in_use: float = 0.3
-    """Share of accounts that one entry sees within the hour; an assumption."""
+    """Share of accounts that one entry sees within an hour; an assumption."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetLine:
-    """One sum, beside its budget where it has one."""
+    """One resource total with an optional budget."""
 
     role: str
     quantity: str
@@ -72,7 +74,7 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the sum is within its budget."""
+        """Whether the total is within its budget."""
         return self.limit is None or self.value <= self.limit
 
 
@@ -84,14 +86,14 @@
     messages: Mapping[str, MessageCost]
 
     def slope(self, name: str) -> float:
-        """Return the cost of one more."""
+        """Return the cost per additional unit."""
         return self.slopes[name].slope
 
 
 def budget(
     slopes: Mapping[str, Slope], messages: Sequence[MessageCost], size: TargetSize
 ) -> tuple[BudgetLine, ...]:
-    """Return every sum at a size."""
+    """Return all resource totals at a size."""
     measured = Measured(slopes, {each.name: each for each in messages})
     return (
         *_entry_lines(measured, size),
@@ -102,18 +104,20 @@
 
 def _entry_lines(measured: Measured, size: TargetSize) -> tuple[BudgetLine, ...]:
     connections = _connections(size)
-    change = _change_bytes(measured, size) * size.configuration_changes_a_day / SECONDS_A_DAY
-    beats = connections / size.heartbeat_interval
-    heartbeat = measured.messages["Heartbeat"].wire_bytes * 2 * beats
-    beat_cpu = measured.slope(HEARTBEATS) * beats / 1e6
+    change = _change_bytes(measured, size) * size.configuration_changes_per_day / SECONDS_PER_DAY
+    heartbeat_rate = connections / size.heartbeat_interval
+    heartbeat_bytes = measured.messages["Heartbeat"].wire_bytes * 2 * heartbeat_rate
+    heartbeat_cpu = measured.slope(HEARTBEATS) * heartbeat_rate / 1e6
     subset_cpu = _subset_cpu(measured, size)
     fold_cpu = _fold_cpu(measured, size)
     return (
         BudgetLine("entry", "agents connected to", connections, "connections"),
-        BudgetLine("entry", "heartbeats, both ways", heartbeat, "B/s"),
+        BudgetLine("entry", "heartbeats, both ways", heartbeat_bytes, "B/s"),
         BudgetLine("entry", "configuration read", change, "B/s"),
-        BudgetLine("entry", "control traffic", heartbeat + change, "B/s", CONTROL_BYTES_LIMIT),
-        BudgetLine("entry", "heartbeat processing", beat_cpu, "cores"),
+        BudgetLine(
+            "entry", "control traffic", heartbeat_bytes + change, "B/s", CONTROL_BYTES_LIMIT
+        ),
+        BudgetLine("entry", "heartbeat processing", heartbeat_cpu, "cores"),
         BudgetLine("entry", "configuration folding", fold_cpu, "cores"),
         BudgetLine(
             "entry",
@@ -126,7 +130,7 @@
         BudgetLine(
             "entry",
             "control processor time",
-            beat_cpu + fold_cpu + subset_cpu,
+            heartbeat_cpu + fold_cpu + subset_cpu,
             "cores",
             CONTROL_CPU_LIMIT,
         ),
@@ -144,10 +148,10 @@
 
 def _agent_lines(measured: Measured, size: TargetSize) -> tuple[BudgetLine, ...]:
     connections = _connections(size) * size.entries / size.agents
-    change = _change_bytes(measured, size) * size.configuration_changes_a_day / SECONDS_A_DAY
-    beats = connections / size.heartbeat_interval
-    heartbeat = measured.messages["Heartbeat"].wire_bytes * 2 * beats
-    beat_cpu = measured.slope(HEARTBEATS) * beats / 1e6
+    change = _change_bytes(measured, size) * size.configuration_changes_per_day / SECONDS_PER_DAY
+    heartbeat_rate = connections / size.heartbeat_interval
+    heartbeat_bytes = measured.messages["Heartbeat"].wire_bytes * 2 * heartbeat_rate
+    heartbeat_cpu = measured.slope(HEARTBEATS) * heartbeat_rate / 1e6
     fold_cpu = _fold_cpu(measured, size)
     keys = size.requests_per_second * size.order_share * size.order_window
     ledger = measured.slope("agent of a service: memory of an order key") * keys
@@ -155,9 +159,11 @@
     claims_read = claims * size.requests_per_second * size.order_share
     return (
         BudgetLine("agent", "entries connected", connections, "connections"),
-        BudgetLine("agent", "control traffic", heartbeat + change, "B/s", CONTROL_BYTES_LIMIT),
         BudgetLine(
-            "agent", "control processor time", beat_cpu + fold_cpu, "cores", CONTROL_CPU_LIMIT
+            "agent", "control traffic", heartbeat_bytes + change, "B/s", CONTROL_BYTES_LIMIT
+        ),
+        BudgetLine(
+            "agent", "control processor time", heartbeat_cpu + fold_cpu, "cores", CONTROL_CPU_LIMIT
         ),
         BudgetLine(
             "agent",
@@ -182,8 +188,8 @@
 
 def _log_lines(measured: Measured, size: TargetSize) -> tuple[BudgetLine, ...]:
     nodes = size.entries + size.agents
-    changes = size.configuration_changes_a_day / SECONDS_A_DAY
-    starts = size.replaced_a_day / SECONDS_A_DAY
+    changes = size.configuration_changes_per_day / SECONDS_PER_DAY
+    starts = size.replacements_per_day / SECONDS_PER_DAY
     batch_interval = size.service_agents / APPENDS_LIMIT
     orders = size.requests_per_second * size.order_share
     return (
@@ -201,11 +207,11 @@
 
 
 def _connections(size: TargetSize) -> int:
-    return max(subset_size(size.entries, size.agents), size.models * size.agents_of_a_model)
+    return max(subset_size(size.entries, size.agents), size.models * size.agents_per_model)
 
 
 def _change_bytes(measured: Measured, size: TargetSize) -> float:
-    """Return the mean bytes of a change; a publication holds the whole configuration."""
+    """Return the mean bytes per change; only a publication holds the whole configuration."""
     publication = measured.slopes["all: bytes of a publication, by account"].at(size.accounts)
     return (1 - size.preset_share) * publication
 
@@ -218,7 +224,7 @@
     publication = _publication_seconds(measured, size) * 1e6
     switch = measured.slopes["all: fold of a preset switch, by account"].at(size.accounts)
     mean = (1 - size.preset_share) * publication + size.preset_share * switch
-    return mean * size.configuration_changes_a_day / SECONDS_A_DAY / 1e6
+    return mean * size.configuration_changes_per_day / SECONDS_PER_DAY / 1e6
 
 
 def _subset_cpu(measured: Measured, size: TargetSize) -> float:
@@ -226,7 +232,7 @@
     after_agent = measured.slopes["entry: subset after an agent changed, by entry"]
     share = size.entries / (size.entries + size.agents)
     mean = share * after_entry.at(size.entries) + (1 - share) * after_agent.at(size.entries)
-    return CHANGES_A_REPLACEMENT * mean * size.replaced_a_day / SECONDS_A_DAY / 1e6
+    return CHANGES_PER_REPLACEMENT * mean * size.replacements_per_day / SECONDS_PER_DAY / 1e6
 
 
 def _configuration_memory(measured: Measured, size: TargetSize) -> float:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity_connections.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity_connections.py
@@ -1,4 +1,4 @@
-"""What one more connection between entry and agent costs, with its heartbeats."""
+"""Measures the memory and heartbeat cost of connections between entry and agent."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from .slopes import Slope, fit
 
 SIZES = (16, 64, 192)
-INTERVAL = timedelta(milliseconds=100)
+HEARTBEAT_INTERVAL = timedelta(milliseconds=100)
 MEASURED_SECONDS = 2.0
 ENDS = 2
-"""Both ends of each connection live in the measuring process."""
+"""Both ends of each connection are in the measuring process."""
 
 
 def connection_memory(_: int) -> Slope:
@@ -32,7 +32,7 @@
 
 
 def heartbeat_cpu(_: int) -> Slope:
-    """Fit the processor time of a second with a heartbeat each way on every connection."""
+    """Fit the CPU time per heartbeat interval, with a heartbeat each way on every connection."""
     return fit(
         "all: heartbeats of a second at one end, one each way, by connection",
         "µs",
@@ -48,30 +48,30 @@
         async with trio.open_nursery() as nursery:
             await _open(size, timedelta(seconds=60), nursery)
             gc.collect()
-            held, _ = tracemalloc.get_traced_memory()
+            allocated, _ = tracemalloc.get_traced_memory()
             nursery.cancel_scope.cancel()
     finally:
         tracemalloc.stop()
-    return held / ENDS
+    return allocated / ENDS
 
 
 async def _heartbeats(size: int) -> float:
     async with trio.open_nursery() as nursery:
-        await _open(size, INTERVAL, nursery)
+        await _open(size, HEARTBEAT_INTERVAL, nursery)
         start = process_time()
         await trio.sleep(MEASURED_SECONDS)
-        spent = process_time() - start
+        cpu_seconds = process_time() - start
         nursery.cancel_scope.cancel()
-    heartbeats_of_each = MEASURED_SECONDS / INTERVAL.total_seconds()
-    return spent / heartbeats_of_each / ENDS * 1e6
+    heartbeats_per_end = MEASURED_SECONDS / HEARTBEAT_INTERVAL.total_seconds()
+    return cpu_seconds / heartbeats_per_end / ENDS * 1e6
 
 
-class _Opened:
-    """Counts the ends that are open and tells when all are."""
+class _OpenEnds:
+    """Sets an event once all connection ends are open."""
 
-    def __init__(self, wanted: int) -> None:
+    def __init__(self, expected: int) -> None:
         self.all_open = trio.Event()
-        self._missing = wanted
+        self._missing = expected
 
     def count(self) -> None:
         self._missing -= 1
@@ -81,21 +81,21 @@
 
 async def _open(size: int, interval: timedelta, nursery: trio.Nursery) -> None:
     settings = ConnectionSettings(heartbeat_interval=interval, silence_timeout=interval * 20)
-    opened = _Opened(size * ENDS)
+    open_ends = _OpenEnds(size * ENDS)
     for index in range(size):
         entry_end, agent_end = memory_stream_pair()
         agent_id = f"agent-{index}/1"
         entry_hello = EntryHello("entry-1/1", "zone-1", 1)
         agent_hello = AgentHello(agent_id, "zone-1", BackendKind.ENGINE, ("model",), 1)
-        nursery.start_soon(_hold, entry_end, entry_hello, settings, opened)
-        nursery.start_soon(_hold, agent_end, agent_hello, settings, opened)
-    await opened.all_open.wait()
+        nursery.start_soon(_run_end, entry_end, entry_hello, settings, open_ends)
+        nursery.start_soon(_run_end, agent_end, agent_hello, settings, open_ends)
+    await open_ends.all_open.wait()
 
 
-async def _hold(
-    stream: trio.abc.Stream, hello: Hello, settings: ConnectionSettings, opened: _Opened
+async def _run_end(
+    stream: trio.abc.Stream, hello: Hello, settings: ConnectionSettings, open_ends: _OpenEnds
 ) -> None:
     async with open_connection(stream, SystemClock(), hello, settings) as connection:
-        opened.count()
+        open_ends.count()
         async for _ in connection:
             pass
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity_tables.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity_tables.py
@@ -1,4 +1,4 @@
-"""The tables in which the capacity experiment is printed."""
+"""Renders the results of the capacity experiment as tables."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def render_tables(
     slopes: Sequence[Slope], messages: Sequence[MessageCost], lines: Sequence[BudgetLine]
 ) -> str:
-    """Return the slopes, the messages and the sums as text."""
+    """Return tables of slopes, message costs and budgets as text."""
     out = StringIO()
     console = Console(file=out, width=TABLE_WIDTH)
     console.print(_slope_table(slopes))
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/comparison.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/comparison.py
@@ -1,4 +1,4 @@
-"""The result of an experiment that compares the shipped policy with baselines."""
+"""Compares the shipped policy with baselines and renders the result."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """A measured value beside what it should be."""
+    """A measured value with its goal."""
 
     name: str
     value: float
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A measured value that no goal is set for."""
+    """A measured value without a goal."""
 
     name: str
     value: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One experiment with one seed."""
+    """Result of one experiment with one seed."""
 
     name: str
     seed: int
@@ -55,7 +55,7 @@
     figures: tuple[Figure, ...] = ()
 
     def render(self) -> str:
-        """Return the tables by class and over all, and the goals."""
+        """Return the tables per class and in total, followed by the goals."""
         out = StringIO()
         console = Console(file=out, width=TABLE_WIDTH)
         console.print(f"{self.name}, seed {self.seed}")
@@ -116,12 +116,12 @@
     """Run a scenario under every variant.
 
     Args:
-        name: The experiment.
-        scenario: What the site goes through.
+        name: Name of the experiment.
+        scenario: Workload and faults to run.
         seed: Seed of the random streams.
-        variants: What is compared; the first is judged.
-        top_class: The most urgent class, whose figures are set beside those of a run with no other
-            class; None where that says nothing.
+        variants: Variants to compare; the goals apply to the first.
+        top_class: The most urgent class, compared with a run of that class alone; None to skip
+            this comparison and its goals.
     """
     classes = scenario.configuration.classes_by_name
     results = tuple(figures_of(run(scenario, each, seed), classes) for each in variants)
@@ -134,7 +134,7 @@
 
 
 def top_goals(figures: VariantFigures, alone: ClassFigures) -> tuple[Goal, ...]:
-    """Return the goals that hold for the most urgent class in any burst."""
+    """Return the goals for the most urgent class, which apply to every burst."""
     top = figures.classes_by_name[alone.name]
     share = top.attained / max(1, alone.attained)
     wasted = figures.wasted_share
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/decision_cost.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/decision_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of the scheduler's decisions, by the number of queued requests."""
+"""Measures the CPU time of scheduler decisions by number of queued requests."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-QUEUED = (100, 1_000, 10_000)
-"""Queue lengths that are measured."""
+QUEUE_LENGTHS = (100, 1_000, 10_000)
+"""Queue lengths at which decisions are measured."""
 
 SLOTS = 64
-"""Requests that run beside the queue."""
+"""Requests that run while the others are queued."""
 
 ACCOUNTS = 100
-"""Client accounts that the queued requests come from."""
+"""Number of client accounts that send the queued requests."""
 
 DAY = timedelta(days=1)
-"""Limit and target of the classes, so that the queue keeps its length."""
+"""Queue limit and targets of the classes, long enough that no queued request expires."""
 
 CLASSES = tuple(
     RequestClass(name, tier, DAY, DAY, DAY, DAY, aging_bound=2 * DAY)
@@ -38,24 +38,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CostAtLength:
-    """Microseconds of processor time with one length of the queue."""
+    """CPU time in microseconds at one queue length."""
 
     queued: int
     offer_and_withdraw: float
-    """A reservation comes and is withdrawn."""
+    """A reservation is offered and withdrawn."""
     finish_and_grant: float
-    """A request ends, its slot is granted and taken, and another reservation comes."""
+    """A request finishes, its slot is granted and started, and a new reservation is offered."""
     progress: float
-    """A token comes."""
+    """A token is recorded."""
     tick: float
-    """A tick without a look through the queue."""
+    """A tick that does not scan the queue."""
     sweep: float
-    """A tick with a look through the whole queue, at most four times a second."""
+    """A tick that scans the whole queue; this happens at most four times per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """Cost of the scheduler's decisions and its growth."""
+    """Cost of scheduler decisions at each queue length."""
 
     seed: int
     by_length: tuple[CostAtLength, ...]
@@ -73,12 +73,12 @@
 
 @experiment("decision_cost")
 def run(seed: int) -> DecisionCost:
-    """Processor time of the scheduler's decisions with 100 to 10,000 queued requests."""
-    return DecisionCost(seed, tuple(_Bench(each, seed).measure() for each in QUEUED))
+    """CPU time of the scheduler's decisions with 100 to 10,000 queued requests."""
+    return DecisionCost(seed, tuple(_Benchmark(each, seed).measure() for each in QUEUE_LENGTHS))
 
 
-class _Bench:
-    """A full engine with a long queue."""
+class _Benchmark:
+    """A scheduler with all slots in use and a long queue."""
 
     def __init__(self, queued: int, seed: int) -> None:
         self._queued = queued
@@ -128,9 +128,9 @@
         del self._reservation_by_id[request_id]
 
     def _finish_and_grant(self) -> None:
-        ended = self._running.pop(0)
-        del self._reservation_by_id[ended]
-        for decision in self._scheduler.finished(ended, self._now):
+        finished_id = self._running.pop(0)
+        del self._reservation_by_id[finished_id]
+        for decision in self._scheduler.finished(finished_id, self._now):
             if isinstance(decision, Grant):
                 self._start(decision.request_id)
         self._offer()
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/direct_entry.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/direct_entry.py
@@ -1,4 +1,4 @@
-"""Experiments on the entry that calls backend servers itself: its decisions' cost, and bursts."""
+"""Experiments on the entry that calls backend servers directly: decision cost and bursts."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from .slopes import Slope, cpu_microseconds, fit
 
 ENGINES = (9, 24, 96, 340)
-"""Numbers of engines that are measured."""
+"""Fleet sizes, in engines, at which decision cost is measured."""
 
 FLEETS = ((17, 9), (68, 39))
-"""Numbers of entries and engines that a burst is replayed on, with the same load an engine."""
+"""Pairs of entry and engine counts for burst replays, with the same load per engine."""
 
 SERVICE = "engines"
 TRAITS = EngineTraits(slots=48, memory_tokens=350_000, tokens_per_event=5)
 
 
 class _Entry:
-    """An entry's decisions before a number of engines, each with one request of its own."""
+    """Decision components of an entry, with one running request on each engine."""
 
     def __init__(self, engines: int) -> None:
         self.servers = [
@@ -38,14 +38,14 @@
             for number in range(engines)
         ]
         self.placement = Placement()
-        self.line = AdmissionQueue(SERVICE, self.placement)
+        self.queue = AdmissionQueue(SERVICE, self.placement)
         self.reporter = RunReporter("entry-1", 1, SERVICE)
         for server in self.servers:
             load = self.placement.load(server, TRAITS)
-            asked = _prompt(server.id)
-            reading = load.reading_of(asked)
-            load.begin(server.id, asked, reading, 0.0)
-            run = ReportedRun(server.id, server.id, asked, reading, 0)
+            prompt = _prompt(server.id)
+            reading = load.reading_of(prompt)
+            load.begin(server.id, prompt, reading, 0.0)
+            run = ReportedRun(server.id, server.id, prompt, reading, 0)
             self.reporter.begin(run, 0.0)
 
     def place_and_end(self) -> None:
@@ -58,8 +58,8 @@
 
     def decide_and_end(self) -> None:
         waiter = Waiter(urgency=0, target_at=1e9, deadline=2e9, arrived_at=0.0)
-        self.line.enter(WaitingRequest("ticket", "ticket", _prompt("session"), waiter), 0.0)
-        (decision,) = self.line.dispatch(TRAITS, lambda _: self.servers, 0.0)
+        self.queue.enter(WaitingRequest("ticket", "ticket", _prompt("session"), waiter), 0.0)
+        (decision,) = self.queue.dispatch(TRAITS, lambda _: self.servers, 0.0)
         assert isinstance(decision, Granted)
         self.placement.loads_by_id[decision.backend.id].end("ticket", 0.0)
 
@@ -70,20 +70,20 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectCost:
-    """Processor time of a direct entry's decisions, by the number of engines."""
+    """CPU time of a direct entry's decisions by number of engines."""
 
     seed: int
     placement: Slope
-    """Microseconds for one long prompt, its end included."""
+    """Microseconds to place one long prompt and end it."""
     decision: Slope
-    """Microseconds of a scheduler for one request that is queued, granted and ended."""
+    """Microseconds for the scheduler to queue, grant and end one request."""
     whole_report: Slope
-    """Microseconds to make a whole report with one run on each engine."""
+    """Microseconds to build a full report with one run on each engine."""
     taken_report: Slope
-    """Microseconds to take it in."""
+    """Microseconds to build a full report and apply it."""
 
     def render(self) -> str:
-        """Return the slopes, a line each."""
+        """Return the slopes, one per line."""
         slopes = (self.placement, self.decision, self.whole_report, self.taken_report)
         return "\n".join(
             f"{each.name}: {each.slope:.2f} {each.unit} an engine, {each.intercept:.0f} besides "
@@ -94,15 +94,15 @@
 
 @experiment("direct_cost")
 def direct_cost(seed: int) -> DirectCost:
-    """Processor time of placements, decisions and reports, by the number of engines."""
+    """CPU time of placements, decisions and reports, by the number of engines."""
 
-    def taking(engines: int) -> float:
+    def build_and_apply_report(engines: int) -> float:
         sender, receiver = _Entry(engines), _Entry(engines)
         by_id = {each.id: each for each in receiver.servers}
         ledger = RunLedger(receiver.placement, BackendTrust(), lambda key: (by_id[key], TRAITS))
         return cpu_microseconds(lambda: ledger.take(sender.reporter.whole_report(0.0), 0.0))
 
-    def making(engines: int) -> float:
+    def build_report(engines: int) -> float:
         reporter = _Entry(engines).reporter
         return cpu_microseconds(lambda: reporter.whole_report(0.0))
 
@@ -114,20 +114,20 @@
         decision=fit(
             "decision", "µs", ENGINES, lambda n: cpu_microseconds(_Entry(n).decide_and_end)
         ),
-        whole_report=fit("report made", "µs", ENGINES, making),
-        taken_report=fit("report made and taken", "µs", ENGINES, taking),
+        whole_report=fit("report made", "µs", ENGINES, build_report),
+        taken_report=fit("report made and taken", "µs", ENGINES, build_and_apply_report),
     )
 
 
 @dataclass(frozen=True, slots=True)
 class BurstRow:
-    """One way of placing, through one burst."""
+    """Result of one placement strategy in one burst."""
 
     placing: str
     entries: int
     engines: int
     scheduled: bool
-    """Whether one entry schedules for all."""
+    """Whether one entry schedules for all entries."""
     worth: float
     chats_on_time: float
     drafts_on_time: float
@@ -135,13 +135,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstResult:
-    """A burst under several ways of placing."""
+    """Results of several placement strategies in one burst."""
 
     seed: int
     rows: tuple[BurstRow, ...]
 
     def render(self) -> str:
-        """Return a line for each way."""
+        """Return one line per strategy."""
         return "\n".join(
             f"{row.placing:15} {row.entries:3} entries, {row.engines:3} engines, "
             f"{'scheduled' if row.scheduled else 'each alone'}: worth {row.worth:6.0f}, "
@@ -152,7 +152,7 @@
 
 @experiment("burst")
 def burst(seed: int) -> BurstResult:
-    """A burst of drafts and chats: the product's placing beside baselines, by size of the fleet."""
+    """A burst of drafts and chats: the shipped placement and baselines, by fleet size."""
     replays = [Replay(Placing.RANDOM, seed), Replay(Placing.LEAST_REPORTED, seed)]
     replays += [Replay(Placing.OURS, seed, scheduled=each) for each in (True, False)]
     replays += [scaled_replay(seed, entries, engines) for entries, engines in FLEETS]
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/dispatch.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/dispatch.py
@@ -1,4 +1,4 @@
-"""Which dispatch scheme keeps requests from waiting behind a slow or frozen engine."""
+"""Compares dispatch schemes by how often requests wait behind a slow or frozen engine."""
 
 from __future__ import annotations
 
@@ -26,15 +26,19 @@
     from ..model.engine import BackendSpec
 
 LONG_WAIT = 1.5
-"""Seconds to the first token above which a wait is counted."""
+"""Time to first token, in seconds, above which a request counts as late."""
 
 SLOTS = 16
 SPEEDS = (1.0,) * 8 + (0.4,)
 LOAD = 0.68
-"""Share of the capacity at a batch of 25; with 16 slots an engine gives 0.8 of that, so that the
-slots are 85% used."""
+"""Offered load as a share of the capacity at a batch of 25.
 
-NEVER = EjectionSettings(minimum_samples=10**9, silence=EjectionSettings().longest_ejection * 1000)
+With 16 slots an engine reaches 0.8 of that capacity, so 85% of the slots are in use.
+"""
+
+NO_EJECTION = EjectionSettings(
+    minimum_samples=10**9, silence=EjectionSettings().longest_ejection * 1000
+)
 
 
 def _scheduler(configuration: Configuration, spec: BackendSpec) -> SchedulerLike:
@@ -42,15 +46,15 @@
 
 
 class FixedFanoutRouter(Router):
-    """The shipped router, but a request that waits is not asked for at more agents."""
+    """The shipped router without reservations at further agents for a waiting request."""
 
     def prompt_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
-        """Ask nobody more."""
+        """Return no further agents."""
         return ()
 
 
 def _reservation_router(zone: str, random: Random, fanout: int, ejecting: bool) -> Router:
-    detector = OutlierDetector() if ejecting else OutlierDetector(NEVER)
+    detector = OutlierDetector() if ejecting else OutlierDetector(NO_EJECTION)
     return FixedFanoutRouter(zone, random, fanout, detector)
 
 
@@ -94,7 +98,7 @@
 
 
 def long_waits(trace: Trace) -> float:
-    """Return the share of the requests whose first token came late or not at all."""
+    """Return the share of requests whose first token was late or never came."""
     late = sum(
         each.first_at is None or each.first_at - each.arrival.at > LONG_WAIT
         for each in trace.records
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/engines.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/engines.py
@@ -14,7 +14,7 @@
 
 @experiment("unequal")
 def unequal(seed: int) -> Comparison:
-    """Engines of 0.4 to 1.6 of the usual speed at 85% load."""
+    """Engines at 0.4 to 1.6 times the usual speed, at 85% load."""
     backends = [*engines(UNEQUAL_SPEEDS), *desks()]
     traffics = (at_load(CHAT, 0.5, backends), at_load(DRAFTS, 0.35, backends), ORDERS)
     return compare("unequal", Scenario(backends, traffics, duration=90), seed)
@@ -22,7 +22,7 @@
 
 @experiment("slowdown")
 def slowdown(seed: int) -> Comparison:
-    """One engine falls to a tenth of its speed while its own report lags, at 70% load."""
+    """One engine slows to a tenth of its speed while its load report lags, at 70% load."""
     backends = [*engines(), *desks()]
     traffics = (at_load(CHAT, 0.4, backends), at_load(DRAFTS, 0.3, backends), ORDERS)
     faults = (Fault(20, "engine-2", speed_factor=0.1), Fault(70, "engine-2"))
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/faults.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/faults.py
@@ -1,4 +1,4 @@
-"""Random faults against real processes, with streams and orders running."""
+"""Injects random faults into real processes that serve streams and orders."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 @experiment("faults", in_all=False)
 def run(seed: int) -> FaultRun:
-    """Kill, freeze, cut and race real processes by a seed's schedule; check what must hold."""
+    """Inject faults into real processes on a seeded schedule and check the system's guarantees."""
     return run_in_temporary_directory(seed)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/figures.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/figures.py
@@ -1,4 +1,4 @@
-"""What is counted of a run, by class and over all."""
+"""Computes the figures of a run, per request class and in total."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     name: str
     tier: int
     offered: int
-    """Requests sent, a caller's repeated ones among them."""
+    """Requests sent, including retries."""
     attained: int
     """Completed with time to first token and between tokens within the class's targets."""
     completed: int
@@ -36,12 +36,12 @@
     inversions: int
     """Refused while a less urgent request ran on an engine that could have served them."""
     first_token_p50: float | None
-    """Seconds, of those that got a token or an answer."""
+    """Seconds, for requests that received a token or an answer."""
     first_token_p99: float | None
 
     @property
     def attainment(self) -> float:
-        """Share of the offered that attained."""
+        """Share of offered requests that attained their targets."""
         return self.attained / self.offered if self.offered else 1.0
 
 
@@ -52,19 +52,19 @@
     variant: str
     classes_by_name: Mapping[str, ClassFigures]
     useful_tokens: int
-    """Generated tokens of completed answers."""
+    """Tokens of completed answers."""
     attained_tokens: int
-    """Generated tokens of answers that attained their class's targets."""
+    """Tokens of answers that attained their class's targets."""
     orders: int
     """Completed orders."""
     generated_tokens: int
     wasted_tokens: int
-    """Generated for requests that did not complete, or generated again."""
+    """Tokens generated for requests that did not complete, or generated repeatedly."""
     prefilled_tokens: int
-    """Prompt tokens worked off; what a prefix cache saved is missing from them."""
+    """Prompt tokens processed, without those found in a prefix cache."""
     preemptions: int
     messages_per_request: float
-    """Reservations, grants, refusals, withdrawals and bodies; loads and pieces are not counted."""
+    """Reservations, grants, refusals, withdrawals and bodies; not load reports or answer chunks."""
 
     @property
     def inversions(self) -> int:
@@ -73,12 +73,12 @@
 
     @property
     def wasted_share(self) -> float:
-        """Share of the generated tokens that were thrown away."""
+        """Share of the generated tokens that were wasted."""
         return self.wasted_tokens / self.generated_tokens if self.generated_tokens else 0.0
 
 
 def figures_of(trace: Trace, classes_by_name: Mapping[str, RequestClass]) -> VariantFigures:
-    """Count one run."""
+    """Compute the figures of one run."""
     records_by_class: dict[str, list[Record]] = {}
     for record in trace.records:
         records_by_class.setdefault(record.arrival.class_name, []).append(record)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/order_claims.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/order_claims.py
@@ -1,4 +1,4 @@
-"""What group commit does for orders: claims a second and added latency at the log's append rate."""
+"""Measures group commit for orders: claim throughput and added latency at the log's append rate."""
 
 from __future__ import annotations
 
@@ -19,37 +19,37 @@
 from .registry import experiment
 
 AGENTS = 3
-ONE_WAY = 0.001
-"""Seconds between an agent and the log, as between two availability zones."""
-SECONDS = 6.0
-"""Virtual time for which orders are submitted."""
-PATIENCE = 5.0
-"""Seconds that a caller waits for its claim."""
-OFFERED = (30, 100, 140, 200, 300, 600, 1200)
-"""Orders a second over all agents."""
+ONE_WAY_SECONDS = 0.001
+"""One-way delay in seconds from an agent to the log, as between two availability zones."""
+SUBMISSION_SECONDS = 6.0
+"""Virtual time in seconds during which orders are submitted."""
+CLAIM_TIMEOUT = 5.0
+"""Seconds after which a caller gives up waiting for its claim."""
+OFFERED_RATES = (30, 100, 140, 200, 300, 600, 1200)
+"""Offered orders per second over all agents."""
 APPEND_INTERVAL = timedelta(seconds=AGENTS / DEFAULT_APPENDS_PER_SECOND)
-"""Each agent's even share of the append rate."""
+"""Append interval that gives each agent an equal share of the log's append rate."""
 BATCH_LIMITS_BY_NAME = {"unbatched": 1, "batched": 256}
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimFigures:
-    """One offered rate under one variant."""
+    """Figures of one variant at one offered rate."""
 
     variant: str
     offered_per_second: int
     won_per_second: float
-    """Claims that won while orders were submitted; those that won later are left out."""
+    """Claims per second won during the submission period; later ones are not counted."""
     not_run_share: float
     latency_p50: float | None
-    """Seconds from the submission to the right to send, of those that won."""
+    """Seconds from submission to permission to send, for claims that won."""
     latency_p99: float | None
     records_per_second: float
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimComparison:
-    """Every offered rate under both variants."""
+    """Figures of both variants at every offered rate."""
 
     seed: int
     appends_per_second: float
@@ -69,8 +69,8 @@
 
 
 @dataclass(slots=True)
-class _Run:
-    """What is counted while one variant runs."""
+class _Counters:
+    """Counters of one variant's run."""
 
     latencies: list[float] = field(default_factory=list)
     results: Counter[str] = field(default_factory=Counter)
@@ -81,35 +81,35 @@
 def run(seed: int) -> ClaimComparison:
     """Compare unbatched with batched claims of orders, in virtual time."""
     figures = tuple(
-        _measure(name, offered, seed) for offered in OFFERED for name in BATCH_LIMITS_BY_NAME
+        _measure(name, offered, seed) for offered in OFFERED_RATES for name in BATCH_LIMITS_BY_NAME
     )
     return ClaimComparison(seed, DEFAULT_APPENDS_PER_SECOND, figures)
 
 
 def _measure(variant: str, offered: int, seed: int) -> ClaimFigures:
     clock = MockClock(autojump_threshold=0)
-    counted, records = trio.run(_submit_all, variant, offered, seed, clock=clock)
-    ordered = sorted(counted.latencies)
-    submitted = counted.results.total()
+    counters, records = trio.run(_submit_all, variant, offered, seed, clock=clock)
+    ordered = sorted(counters.latencies)
+    submitted = counters.results.total()
     return ClaimFigures(
         variant,
         offered,
-        counted.won_in_time / SECONDS,
+        counters.won_in_time / SUBMISSION_SECONDS,
         1 - len(ordered) / submitted,
         quantile(ordered, 0.5),
         quantile(ordered, 0.99),
-        records / SECONDS,
+        records / SUBMISSION_SECONDS,
     )
 
 
-async def _submit_all(variant: str, offered: int, seed: int) -> tuple[_Run, int]:
-    clock, random, counted = TrioClock(), Random(seed), _Run()
+async def _submit_all(variant: str, offered: int, seed: int) -> tuple[_Counters, int]:
+    clock, random, counters = TrioClock(), Random(seed), _Counters()
     stored = RecordLog(clock)
     settings = OrderBookSettings(
         append_interval=APPEND_INTERVAL, batch_limit=BATCH_LIMITS_BY_NAME[variant]
     )
     async with trio.open_nursery() as nursery:
-        log = InMemoryLog(stored, Random(seed), nursery, ONE_WAY)
+        log = InMemoryLog(stored, Random(seed), nursery, ONE_WAY_SECONDS)
         books = [
             OrderBook(log, clock, Random(index), f"desk-{index}", settings)
             for index in range(AGENTS)
@@ -119,25 +119,25 @@
         start = trio.current_time()
         async with trio.open_nursery() as submissions:
             number = 0
-            while trio.current_time() < start + SECONDS:
-                submissions.start_soon(_submit, books[number % AGENTS], number, counted)
+            while trio.current_time() < start + SUBMISSION_SECONDS:
+                submissions.start_soon(_submit, books[number % AGENTS], number, counters)
                 number += 1
                 await trio.sleep(random.expovariate(offered))
-            counted.won_in_time = counted.results["won"]
+            counters.won_in_time = counters.results["won"]
             records = stored.stream(settings.stream).next_offset
         nursery.cancel_scope.cancel()
-    return counted, records
+    return counters, records
 
 
-async def _submit(book: OrderBook, number: int, counted: _Run) -> None:
+async def _submit(book: OrderBook, number: int, counters: _Counters) -> None:
     started = trio.current_time()
     order = KeyedOrder("suva-cakes", f"order-{number}", b"digest")
-    result = await book.claim(order, started + PATIENCE)
+    result = await book.claim(order, started + CLAIM_TIMEOUT)
     if not isinstance(result, WonClaim) or book.begin_send(result) is not None:
-        counted.results["not run"] += 1
+        counters.results["not run"] += 1
         return
-    counted.results["won"] += 1
-    counted.latencies.append(trio.current_time() - started)
+    counters.results["won"] += 1
+    counters.latencies.append(trio.current_time() - started)
     book.record(result, Completed(), 201)
 
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/overload.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/overload.py
@@ -1,4 +1,4 @@
-"""Experiments in which callers send more than the engines can serve."""
+"""Experiments in which the offered load exceeds the engines' capacity."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .registry import experiment
 from .site_loads import CHAT, DESK_QUERIES, DRAFTS, NARRATIVES, ORDERS, at_load, desks, engines
 
-FLOODED_ACCOUNTS = 3500
+ACCOUNT_COUNT = 3500
 
 
 @experiment("burst")
@@ -53,7 +53,7 @@
 
 @experiment("storm")
 def storm(seed: int) -> Comparison:
-    """Callers that are told no come back at once, at 1.4 times the capacity."""
+    """Refused callers retry at once, at 1.4 times the capacity."""
     backends = [*engines(), *desks()]
     traffics = (
         replace(
@@ -67,7 +67,7 @@
 
 @experiment("endless_top")
 def endless_top(seed: int) -> Comparison:
-    """The most urgent tier alone asks for 1.3 times the capacity, and does not stop."""
+    """The most urgent tier alone sends 1.3 times the capacity for the whole run."""
     backends = [*engines(), *desks()]
     traffics = (
         at_load(CHAT, 1.3, backends),
@@ -81,9 +81,9 @@
 
 @experiment("many_accounts")
 def many_accounts(seed: int) -> Comparison:
-    """One of 3,500 accounts sends as much chat as all the others together and more."""
+    """One of 3,500 accounts sends more chat than all the others together."""
     backends = [*engines(), *desks()]
-    others = tuple(AccountShare(f"account-{each}", 1.0) for each in range(FLOODED_ACCOUNTS - 1))
+    others = tuple(AccountShare(f"account-{each}", 1.0) for each in range(ACCOUNT_COUNT - 1))
     flooding = AccountShare("flooding", 2.0 * len(others))
     traffics = (
         replace(at_load(CHAT, 1.2, backends), accounts=(*others, flooding)),
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/process_usage.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and resident memory of a process, as the kernel counts them."""
+"""Reads the CPU time and resident memory of a process from `/proc`."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 USER_TIME_FIELD = 11
-"""Index of the user time among the fields after the command's name; the system time follows."""
+"""Index of the user time among the fields after the command name; the system time follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used so far."""
+    """CPU time and resident memory of a process."""
 
     cpu_seconds: float
     resident_megabytes: float
@@ -26,7 +26,7 @@
     """Return the usage of a running process.
 
     Args:
-        pid: Its id.
+        pid: Process id.
     """
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(stat[USER_TIME_FIELD]) + int(stat[USER_TIME_FIELD + 1])
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/registry.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/registry.py
@@ -1,6 +1,7 @@
-"""The registry that `measure` reads: an experiment is a function of a seed.
+"""Registry of the experiments that the `measure` command runs.
 
-Another package module joins by decorating its function and by being named in `MODULES`.
+An experiment is a function of a seed. To add one, decorate the function with `experiment` and list
+its module in `MODULES`.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
     "ragwortwing_lab.experiments.relay",
     "ragwortwing_lab.experiments.direct_entry",
 )
-"""Modules whose import registers experiments."""
+"""Modules that register experiments on import."""
 
 
 class Result(Protocol):
-    """A frozen data class; `--json` prints its fields."""
+    """Result of an experiment: a frozen data class whose fields `--json` prints."""
 
     def render(self) -> str:
-        """Return the result as text for people."""
+        """Return the result as human-readable text."""
 
 
 ExperimentFunction = Callable[[int], Result]
@@ -45,7 +46,7 @@
     summary: str
     function: ExperimentFunction
     in_all: bool = True
-    """Whether `measure all` runs it; false where it starts processes or takes minutes."""
+    """Whether `measure all` runs it; false if it starts processes or takes minutes."""
 
 
 experiments_by_name: dict[str, Experiment] = {}
@@ -63,7 +64,7 @@
 
 
 def load_experiments() -> dict[str, Experiment]:
-    """Import every module of experiments and return the registry."""
+    """Import all experiment modules and return the registry."""
     for module in MODULES:
         import_module(module)
     return experiments_by_name
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/relay.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/relay.py
@@ -1,4 +1,4 @@
-"""What a stream costs through entry and agent, against straight from the engine, in one run."""
+"""Compares streams relayed by entry and agent with streams read directly from the engine."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 STREAMS = 500
 STEP_SECONDS = 0.045
-"""Time between tokens; with 500 streams, 11,100 tokens a second are offered."""
+"""Seconds between tokens; 500 streams offer 11,100 tokens per second."""
 
 SLOTS = 1_000
-ENDLESS = 1_000_000
-"""Tokens of an answer that outlasts the run."""
+UNENDING_TOKENS = 1_000_000
+"""Length of an answer that does not end during the run."""
 
 OPENING_INTERVAL = 0.01
-"""Seconds between two new streams."""
+"""Seconds between opening two streams."""
 
 SETTLE_SECONDS = 2.0
 SAMPLE_SECONDS = 1.0
@@ -42,7 +42,7 @@
 FIRST_TOKEN_GOAL_MS = 5.0
 MEMORY_GOAL_MB = 64.0
 GROWTH_GOAL_MB = 4.0
-"""Growth of resident memory over the samples that still counts as flat."""
+"""Largest growth of resident memory over the samples that counts as stable."""
 
 ENGINE, AGENT, ENTRY = "engine-0", "agent-engine-0", "entry-0"
 TABLE_WIDTH = 120
@@ -50,26 +50,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PathFigures:
-    """One way to the engine under load."""
+    """Figures of one path to the engine under load."""
 
     path: str
     tokens_per_second: float
     megabytes_per_second: float
     tokens_per_read: float
-    """Above one where tokens came late enough to be read together."""
+    """Above one if delayed tokens were read together."""
     first_token_median_ms: float
-    """While the streams were opened."""
+    """Measured while the streams were being opened."""
     cores_by_process: dict[str, float]
-    """Processor seconds a second."""
+    """CPU seconds per second."""
     megabytes_by_process: dict[str, float]
-    """Resident memory at the end."""
+    """Resident memory at the last sample."""
     growth_by_process: dict[str, float]
     """Growth of the resident memory over the samples, in megabytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayResult:
-    """The experiment's figures."""
+    """Figures of the relay experiment."""
 
     seed: int
     streams: int
@@ -81,7 +81,7 @@
 
     @property
     def goals(self) -> tuple[Goal, ...]:
-        """The goals and whether they were met."""
+        """Goals of the experiment, with measured values."""
         added = self.first_token_relayed_ms - self.first_token_direct_ms
         tokens = self.relayed.tokens_per_second
         idle = max(self.idle_megabytes_by_process.values())
@@ -130,7 +130,7 @@
 
 @experiment("relay", in_all=False)
 def relay(seed: int) -> RelayResult:
-    """Streams through one entry and one agent against straight from the engine (real time)."""
+    """Streams through one entry and one agent, compared with direct streams (real time)."""
     return trio.run(_measure, seed)
 
 
@@ -161,8 +161,8 @@
     return RelayResult(
         seed=seed,
         streams=STREAMS,
-        direct=await _load(site, "direct", direct, seed),
-        relayed=await _load(site, "relayed", relayed, seed),
+        direct=await _measure_under_load(site, "direct", direct, seed),
+        relayed=await _measure_under_load(site, "relayed", relayed, seed),
         first_token_direct_ms=first_direct * 1000,
         first_token_relayed_ms=first_relayed * 1000,
         idle_megabytes_by_process={name: idle[name].resident_megabytes for name in (AGENT, ENTRY)},
@@ -170,7 +170,7 @@
 
 
 async def _first_tokens(direct: str, relayed: str, seed: int) -> tuple[float, float]:
-    """Return the medians of calls that come alone, one way and the other in turn."""
+    """Return the median times to first token of single calls, alternating between both paths."""
     times_by_address: dict[str, list[float]] = {direct: [], relayed: []}
     for index in range(FIRST_TOKEN_CALLS):
         for address, times in times_by_address.items():
@@ -178,12 +178,12 @@
     return median(times_by_address[direct]), median(times_by_address[relayed])
 
 
-async def _load(site: Site, path: str, address: str, seed: int) -> PathFigures:
+async def _measure_under_load(site: Site, path: str, address: str, seed: int) -> PathFigures:
     counts = ReadCounts()
     async with trio.open_nursery() as nursery:
         for index in range(STREAMS):
             stream = seed * STREAMS + index
-            nursery.start_soon(read_stream, address, stream, ENDLESS, counts, lambda: False)
+            nursery.start_soon(read_stream, address, stream, UNENDING_TOKENS, counts, lambda: False)
             await trio.sleep(OPENING_INTERVAL)
         while len(counts.first_tokens) < STREAMS:
             await trio.sleep(OPENING_INTERVAL)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/site_loads.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/site_loads.py
@@ -1,4 +1,4 @@
-"""The usual site of the experiments and its traffic, given as shares of the engines' capacity."""
+"""The default site of the experiments, with traffic as a share of the engines' capacity."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from collections.abc import Iterable, Sequence
 
 BETWEEN_TOKENS = 0.045
-"""Between-token time, in seconds, at which capacity is counted."""
+"""Time between tokens, in seconds, at which capacity is defined."""
 
 ENGINES = 6
 DESKS = 3
@@ -28,7 +28,7 @@
 
 
 def engines(speeds: Iterable[float] = (1.0,) * ENGINES) -> list[BackendSpec]:
-    """Return engines of given speeds, spread over the zones."""
+    """Return engines with the given speeds, spread over the availability zones."""
     return [
         BackendSpec(f"engine-{number}", ZONES[number % len(ZONES)], speed)
         for number, speed in enumerate(speeds)
@@ -36,7 +36,7 @@
 
 
 def desks() -> list[BackendSpec]:
-    """Return the order desk's VMs."""
+    """Return the backend servers of the order desk."""
     return [
         BackendSpec(f"desk-{number}", ZONES[number % len(ZONES)], kind=BackendKind.SERVICE)
         for number in range(DESKS)
@@ -44,13 +44,13 @@
 
 
 def engine_seconds(traffic: Traffic) -> float:
-    """Return the time that a request takes of an engine of speed 1 with a full batch."""
+    """Return the engine time per request, in seconds, at speed 1 with a full batch."""
     batch = (BETWEEN_TOKENS - STEP_BASE) / STEP_PER_STREAM
     prefill = (traffic.prompt_tokens - traffic.prefix_tokens) / PREFILL_RATE
     return traffic.output.mean * BETWEEN_TOKENS / batch + prefill
 
 
 def at_load(traffic: Traffic, load: float, backends: Sequence[BackendSpec]) -> Traffic:
-    """Return the traffic at a rate that takes a share of the engines' capacity."""
+    """Return the traffic with its rate set to a share of the engines' capacity."""
     speed = sum(each.speed for each in backends if each.kind is BackendKind.ENGINE)
     return replace(traffic, rate=load * speed / engine_seconds(traffic))
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/slopes.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/slopes.py
@@ -1,4 +1,4 @@
-"""Cost against size, fitted to a line: what one more of something takes."""
+"""Measures a cost at several sizes and fits a line: the slope is the cost per additional unit."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-SMALLEST_CPU_SAMPLE = 0.05
-"""Seconds of processor time that one round of calls covers at the least."""
+MIN_ROUND_CPU_SECONDS = 0.05
+"""Minimum CPU time, in seconds, of one round of calls."""
 
 ROUNDS = 7
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A straight line fitted to a cost at three or more sizes."""
+    """A line fitted to a cost at three or more sizes."""
 
     name: str
     unit: str
-    """Unit of the cost; the slope is in this unit for each one more."""
+    """Unit of the cost; the slope is this unit per additional element."""
     sizes: tuple[int, ...]
     costs: tuple[float, ...]
     slope: float
     intercept: float
     fit: float
-    """Square of the correlation; 1 is a straight line."""
+    """Coefficient of determination (r²); 1 is a perfect line."""
 
     def at(self, size: float) -> float:
         """Return the fitted cost at a size."""
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCost:
-    """Size and processor time of one message."""
+    """Encoded size and CPU time of one message."""
 
     name: str
     wire_bytes: int
@@ -51,36 +51,36 @@
     """Measure a cost at each size and fit a line.
 
     Args:
-        name: What grows.
+        name: Name of the measured quantity.
         unit: Unit of the cost.
-        sizes: Three or more sizes.
+        sizes: Three or more sizes to measure at.
         cost: Measures the cost at a size.
     """
     costs = tuple(cost(size) for size in sizes)
     slope, intercept = linear_regression(sizes, costs)
-    straight = 1.0 if len(set(costs)) == 1 else correlation(sizes, costs) ** 2
-    return Slope(name, unit, tuple(sizes), costs, slope, intercept, straight)
+    r_squared = 1.0 if len(set(costs)) == 1 else correlation(sizes, costs) ** 2
+    return Slope(name, unit, tuple(sizes), costs, slope, intercept, r_squared)
 
 
 def memory_bytes(build: Callable[[], object]) -> float:
-    """Return the bytes that Python allocates for what a function builds and keeps."""
+    """Return the bytes that Python allocates for the object that a function builds."""
     gc.collect()
     tracemalloc.start()
     try:
-        kept = build()
+        retained = build()
         gc.collect()
-        held, _ = tracemalloc.get_traced_memory()
-        del kept
+        allocated, _ = tracemalloc.get_traced_memory()
+        del retained
     finally:
         tracemalloc.stop()
-    return float(held)
+    return float(allocated)
 
 
 def cpu_microseconds(act: Callable[[], object]) -> float:
-    """Return the processor time of one call, the least of several rounds of calls.
+    """Return the CPU time of one call: the minimum over several rounds of calls.
 
-    Other work on the machine only ever adds to a round, by evicting caches, so the least is the
-    steadiest figure.
+    Other work on the machine evicts caches and can only add to a round, so the minimum is the most
+    stable figure.
     """
     return min(_round_microseconds(act) for _ in range(ROUNDS))
 
@@ -88,7 +88,7 @@
 def _round_microseconds(act: Callable[[], object]) -> float:
     calls = 0
     start = process_time()
-    while (spent := process_time() - start) < SMALLEST_CPU_SAMPLE:
+    while (elapsed := process_time() - start) < MIN_ROUND_CPU_SECONDS:
         act()
         calls += 1
-    return spent / calls * 1e6
+    return elapsed / calls * 1e6
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/stream_readers.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/stream_readers.py
@@ -1,4 +1,4 @@
-"""Callers that read streams as cheaply as possible, so that a run measures the other side."""
+"""Minimal stream readers whose own cost barely affects what a run measures."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
     from collections.abc import Callable
 
 READ_SIZE = 65_536
-TOKEN_MARK = b'"content":" '
-"""Stands once in each event with a token; words of the stand-in begin with a space."""
+TOKEN_MARKER = b'"content":" '
+"""Occurs once per event with a token; the stand-in engine's words begin with a space."""
 
 KEY = "suva-key"
 REQUEST_CLASS = "draft"
-"""A class whose targets a full engine meets, so that nothing is refused."""
+"""A class whose targets a full engine still meets, so no request is refused."""
 
 SUCCESS = b"HTTP/1.1 200"
 
 
 class RefusedStreamError(Exception):
-    """A stream was answered with something else than tokens."""
+    """The response to a stream request was not a success."""
 
 
 @dataclass(slots=True)
 class ReadCounts:
-    """What the readers got so far."""
+    """Running totals over all readers."""
 
     tokens: int = 0
     bytes: int = 0
     reads: int = 0
-    """Reads that brought tokens."""
+    """Reads that contained at least one token."""
     first_tokens: list[float] = field(default_factory=list)
     """Seconds from each request to its first token."""
 
@@ -43,30 +43,30 @@
 async def read_stream(
     address: str, index: int, tokens: int, counts: ReadCounts, enough: Callable[[], bool]
 ) -> None:
-    """Ask for one answer and read it until the counts are enough, or to its end."""
+    """Request one answer and read it until `enough` returns true or the stream ends."""
     host, _, port = address.rpartition(":")
     async with await trio.open_tcp_stream(host, int(port)) as stream:
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         await stream.send_all(_request(index, tokens))
         first = True
         async for data in stream:
             if first and data.startswith(b"HTTP") and not data.startswith(SUCCESS):
                 raise RefusedStreamError(data[:READ_SIZE])
-            found = data.count(TOKEN_MARK)
+            found = data.count(TOKEN_MARKER)
             counts.bytes += len(data)
             if not found:
                 continue
             counts.tokens += found
             counts.reads += 1
             if first:
-                counts.first_tokens.append(trio.current_time() - asked_at)
+                counts.first_tokens.append(trio.current_time() - requested_at)
                 first = False
             if enough():
                 return
 
 
 async def read_first_token(address: str, index: int) -> float:
-    """Return the seconds that a one-token answer takes to its token."""
+    """Return the time to first token, in seconds, of a one-token answer."""
     counts = ReadCounts()
     await read_stream(address, index, 1, counts, lambda: True)
     return counts.first_tokens[0]
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/yardstick.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/yardstick.py
@@ -1,4 +1,4 @@
-"""The shipped policy at 1.5 times the capacity against what the capacity allows."""
+"""Compares the shipped policy at 1.5 times the capacity with what the capacity allows."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 SATURATING_LOAD = 1.5
 DURATION = 100.0
 WARM_UP = 20.0
-"""Seconds left out of goodput, while the batches fill."""
+"""Seconds at the start that goodput ignores, while the batches fill."""
 
 LOWER_GOAL = 0.90
 
@@ -34,13 +34,16 @@
     replace(each, between_token_target=timedelta(seconds=BETWEEN_TOKENS))
     for each in REQUEST_CLASSES
 )
-"""All classes at the top tier's between-token target: with looser ones an engine without chat would
-run larger batches, and its goodput would be no measure of what is left over beside chat."""
+"""All classes with the top tier's between-token target.
+
+With looser targets an engine without chat would run larger batches. Its goodput would then not be
+comparable with the capacity that remains beside chat.
+"""
 
 
 @experiment("yardstick")
 def yardstick(seed: int) -> Comparison:
-    """Chat at 0.6 and lower tiers at 0.9 of the capacity, against each alone."""
+    """Chat at 0.6 and lower tiers at 0.9 of the capacity, compared with each alone."""
     backends = engines()
     top = at_load(CHAT, TOP_LOAD, backends)
     lower = [at_load(DRAFTS, LOWER_LOAD * 0.6, backends)]
@@ -54,17 +57,17 @@
 
     mixed = trace(top, *lower)
     alone = trace(top)
-    top_most = goodput(trace(at_load(CHAT, SATURATING_LOAD, backends)), ("chat",))
+    max_top_goodput = goodput(trace(at_load(CHAT, SATURATING_LOAD, backends)), ("chat",))
     scale = SATURATING_LOAD / LOWER_LOAD
     lower_names = tuple(each.class_name for each in lower)
     lower_alone = trace(*(replace(each, rate=each.rate * scale) for each in lower))
-    lower_most = goodput(lower_alone, lower_names)
-    leftover = lower_most * (1 - goodput(mixed, ("chat",)) / top_most)
+    max_lower_goodput = goodput(lower_alone, lower_names)
+    spare_goodput = max_lower_goodput * (1 - goodput(mixed, ("chat",)) / max_top_goodput)
     classes = {each.name: each for each in STRICT_CLASSES}
     figures = replace(figures_of(mixed, classes), variant="mixed")
     figures_alone = replace(figures_of(alone, classes), variant="chat alone")
     lower_figures = replace(figures_of(lower_alone, classes), variant="lower alone, saturated")
-    lower_share = goodput(mixed, lower_names) / leftover
+    lower_share = goodput(mixed, lower_names) / spare_goodput
     lower_goal = Goal(
         "lower tiers' goodput, of leftover",
         lower_share,
@@ -76,10 +79,10 @@
 
 
 def goodput(trace: Trace, class_names: Sequence[str]) -> float:
-    """Return the tokens a second, delivered after the warm-up and before the end of the arrivals.
+    """Return the tokens per second delivered between the warm-up and the end of the arrivals.
 
-    Only answers that were completed count, be it later: an answer that was interrupted for more
-    urgent work is no loss.
+    Only completed answers count, including those that complete after the last arrival. An answer
+    that was preempted by more urgent work and completed later is not a loss.
     """
     tokens = sum(
         record.counted_tokens
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/__init__.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load generator: seeded open-loop arrivals, each answer checked whole, a report."""
+"""Load generator with seeded open-loop arrivals, answer verification and a report."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/answer_check.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/answer_check.py
@@ -1,4 +1,4 @@
-"""Checks an answer whole against the engine stand-in's deterministic text."""
+"""Verifies complete answers against the deterministic text of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -16,41 +16,41 @@
 
 
 class AnswerFault(StrEnum):
-    """What is wrong with an answer that claims to be whole."""
+    """Defect found in an answer."""
 
     NONE = ""
     TEXT = "text_differs"
-    """A gap, a repeat or another request's text."""
+    """The text has a gap or a repetition, or belongs to another request."""
     IDS = "ids_differ"
-    """Events of one stream carry several ids."""
+    """The events of one stream have different ids."""
     UNFINISHED = "no_final_event"
-    """The stream ended without its outcome."""
+    """The stream ended without an outcome event or the final `[DONE]`."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamedAnswer:
-    """A stream read to its end."""
+    """A stream that was read to its end."""
 
     text: str
     tokens: int
     outcome: str
-    """Empty where no outcome came."""
+    """Empty if there was no outcome event."""
     reason: str
     fault: AnswerFault
 
 
 def prompt_of(index: int, tokens: int) -> str:
-    """Return a prompt whose answer has exactly so many tokens and is like no other's."""
+    """Return a prompt whose answer is unique and has the given number of tokens."""
     return f"request {index} [tokens={tokens}]"
 
 
 def read_stream(body: bytes, prompt: str, tokens: int) -> StreamedAnswer:
-    """Check a stream against what the prompt's answer must be.
+    """Parse a stream and compare it with the expected answer to a prompt.
 
     Args:
-        body: Every byte of the answer.
-        prompt: The prompt.
-        tokens: Tokens that the whole answer has.
+        body: Complete body of the response.
+        prompt: Prompt of the request.
+        tokens: Tokens in the complete answer.
     """
     texts: list[str] = []
     ids: set[str] = set()
@@ -68,11 +68,11 @@
             texts.extend(choice["delta"].get("content", "") for choice in event["choices"])
     text = "".join(texts)
     completed = outcome.get("type") == "completed"
-    whole = answer_text(prompt, tokens)
+    expected = answer_text(prompt, tokens)
     fault = AnswerFault.NONE
     if not outcome or not done:
         fault = AnswerFault.UNFINISHED
-    elif text != (whole if completed else whole[: len(text)]):
+    elif text != (expected if completed else expected[: len(text)]):
         fault = AnswerFault.TEXT
     elif len(ids) > 1:
         fault = AnswerFault.IDS
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/caller.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/caller.py
@@ -1,4 +1,4 @@
-"""Makes one call, reads its answer whole and measures it."""
+"""Makes calls, reads each answer to its end, verifies it and measures its timing."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 CHAT_PATH = "/v1/chat/completions"
 ORDERS_PATH = "/desk/orders"
-FIRST_TOKEN_MARK = b'"content":" '
+FIRST_TOKEN_MARKER = b'"content":" '
 OUTCOME_HEADER = b"x-ragwortwing-outcome"
 REASON_HEADER = b"x-ragwortwing-reason"
 NO_ANSWER = "no_answer"
-"""Stands for an outcome where the connection broke before any."""
+"""Outcome recorded if the connection broke before an outcome arrived."""
 
 CALL_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What became of a call, over all its attempts."""
+    """Result of a call over all its attempts."""
 
     arrival: Arrival
     outcome: str
@@ -38,7 +38,7 @@
     tokens: int = 0
     """Tokens received in the last attempt."""
     first_token: float | None = None
-    """Seconds to the first token, or to the whole answer."""
+    """Seconds to the first token, or to the whole answer if it is not streamed."""
     between_tokens: float | None = None
     seconds: float = 0.0
     fault: AnswerFault = AnswerFault.NONE
@@ -48,7 +48,7 @@
 
     @property
     def attained(self) -> bool:
-        """Whether the call completed, right and within its class's targets."""
+        """Whether the call completed correctly and within its targets."""
         traffic = self.arrival.traffic
         if self.outcome != "completed" or self.fault or self.first_token is None:
             return False
@@ -59,18 +59,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Read:
-    """A whole HTTP answer with the times of its pieces."""
+class _Response:
+    """A complete HTTP response with the arrival times of its chunks."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
     first_token_at: float | None
-    last_piece_at: float
+    last_chunk_at: float
 
 
 class LoadCaller:
-    """Calls the entries in turn."""
+    """Makes calls to the entries in round-robin order."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self._model = model
         self._run_id = run_id
         self._retries = retries
-        self._makers: dict[CallKind, Callable[[Arrival], tuple[str, str, bytes]]] = {
+        self._request_builders: dict[CallKind, Callable[[Arrival], tuple[str, str, bytes]]] = {
             CallKind.STREAM: self._chat,
             CallKind.WHOLE: self._chat,
             CallKind.ORDER: self._order,
@@ -93,7 +93,7 @@
         }
 
     async def call(self, arrival: Arrival) -> CallResult:
-        """Make a call, and make it again where the answer says when."""
+        """Make a call, and retry it if the answer has a Retry-After header."""
         started_at = trio.current_time()
         wasted = 0
         attempt = 0
@@ -111,16 +111,16 @@
         self, arrival: Arrival, attempt: int, started_at: float
     ) -> tuple[CallResult, float | None]:
         target = self._targets[(arrival.index + attempt) % len(self._targets)]
-        method, path, body = self._makers[arrival.traffic.kind](arrival)
+        method, path, body = self._request_builders[arrival.traffic.kind](arrival)
         try:
             read = await self._read(target, method, path, body, arrival)
         except CALL_ERRORS as error:
             return CallResult(arrival, NO_ANSWER, type(error).__name__), None
-        return self._judge(arrival, read, started_at), _retry_after(read)
+        return self._evaluate(arrival, read, started_at), _retry_after(read)
 
     async def _read(
         self, target: str, method: str, path: str, body: bytes, arrival: Arrival
-    ) -> _Read:
+    ) -> _Response:
         headers: dict[bytes | str, bytes | str] = {
             "authorization": f"Bearer {arrival.key}",
             "content-type": "application/json",
@@ -128,29 +128,29 @@
         }
         if arrival.traffic.kind is CallKind.ORDER:
             headers["idempotency-key"] = f"{self._run_id}-{arrival.index}"
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         first_token_at = None
         async with self._http.stream(
             method, target + path, headers=headers, content=body
         ) as response:
-            async for piece in response.aiter_stream():
-                pieces.append(piece)
-                if first_token_at is None and FIRST_TOKEN_MARK in piece:
+            async for chunk in response.aiter_stream():
+                chunks.append(chunk)
+                if first_token_at is None and FIRST_TOKEN_MARKER in chunk:
                     first_token_at = trio.current_time()
             names = {name.lower(): value for name, value in response.headers}
         now = trio.current_time()
-        return _Read(response.status, names, b"".join(pieces), first_token_at, now)
+        return _Response(response.status, names, b"".join(chunks), first_token_at, now)
 
-    def _judge(self, arrival: Arrival, read: _Read, started_at: float) -> CallResult:
+    def _evaluate(self, arrival: Arrival, read: _Response, started_at: float) -> CallResult:
         if arrival.traffic.kind is CallKind.STREAM and read.status == 200:
-            return _judge_stream(arrival, read, started_at)
+            return _evaluate_stream(arrival, read, started_at)
         fault = AnswerFault.NONE
         tokens = 0
         outcome = read.headers.get(OUTCOME_HEADER, b"").decode()
         if arrival.traffic.kind is CallKind.WHOLE and read.status == 200:
             tokens = arrival.tokens
-            wanted = answer_text(prompt_of(arrival.index, tokens), tokens)
-            if _message_text(read.body) != wanted:
+            expected = answer_text(prompt_of(arrival.index, tokens), tokens)
+            if _message_text(read.body) != expected:
                 fault = AnswerFault.TEXT
         return CallResult(
             arrival,
@@ -158,7 +158,7 @@
             read.headers.get(REASON_HEADER, b"").decode(),
             read.status,
             tokens,
-            read.last_piece_at - started_at,
+            read.last_chunk_at - started_at,
             fault=fault,
         )
 
@@ -179,12 +179,12 @@
         return "GET", f"{ORDERS_PATH}/{arrival.index}", b""
 
 
-def _judge_stream(arrival: Arrival, read: _Read, started_at: float) -> CallResult:
+def _evaluate_stream(arrival: Arrival, read: _Response, started_at: float) -> CallResult:
     answer = read_stream(read.body, prompt_of(arrival.index, arrival.tokens), arrival.tokens)
     first_token = between = None
     if read.first_token_at is not None:
         first_token = read.first_token_at - started_at
-        between = (read.last_piece_at - read.first_token_at) / max(1, answer.tokens - 1)
+        between = (read.last_chunk_at - read.first_token_at) / max(1, answer.tokens - 1)
     return CallResult(
         arrival,
         answer.outcome or NO_ANSWER,
@@ -202,7 +202,7 @@
     return str(answer["choices"][0]["message"]["content"])
 
 
-def _retry_after(read: _Read) -> float | None:
+def _retry_after(read: _Response) -> float | None:
     if b"retry-after" not in read.headers:
         return None
     detail = msgspec.json.decode(read.body)["error"]
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/command.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/command.py
@@ -1,4 +1,4 @@
-"""`python -m ragwortwing_lab load`."""
+"""The command `python -m ragwortwing_lab load`."""
 
 from __future__ import annotations
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/generator.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/generator.py
@@ -1,4 +1,4 @@
-"""Runs a load: calls start at their times, whatever became of the earlier ones."""
+"""Runs an open-loop load: calls start on schedule, regardless of earlier calls."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSettings:
-    """How a load is made."""
+    """Settings of a load generator run."""
 
     seconds: float = 20.0
     seed: int = 1
     traffic: tuple[Traffic, ...] = DEMO_TRAFFIC
     model: str = DEMO_MODEL
     retries: int = 0
-    """Times that a call which was not run is made again, after the time that the answer names."""
+    """Maximum retries of a call, each after the time given in the answer."""
 
 
 async def run_load(targets: Sequence[str], settings: LoadSettings) -> LoadReport:
-    """Make a load and report on it.
+    """Run a load and return its report.
 
     Args:
         targets: Base URLs of the entries.
-        settings: What to call, when, and for how long.
+        settings: Traffic, duration and retries.
     """
     arrivals = schedule(settings.traffic, settings.seconds, settings.seed)
     results: list[CallResult] = []
@@ -49,7 +49,7 @@
     async with httpcore.AsyncConnectionPool(
         max_connections=CONNECTIONS, max_keepalive_connections=CONNECTIONS
     ) as http:
-        # Keys of an earlier run must not answer this one, so the run's own name is in each.
+        # A unique run id keeps idempotency keys from matching recorded answers of an earlier run.
         run_id = f"load-{settings.seed}-{secrets.token_hex(4)}"
         caller = LoadCaller(http, targets, settings.model, run_id, settings.retries)
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/load_report.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/load_report.py
@@ -1,4 +1,4 @@
-"""Adds up a run of the load generator."""
+"""Aggregates the results of a load generator run into a report."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassReport:
-    """Calls of one request class."""
+    """Results of the calls of one request class."""
 
     calls: int
     completed: int
@@ -40,20 +40,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A whole run."""
+    """Results of a whole run."""
 
     seconds: float
     classes_by_name: dict[str, ClassReport]
     counts_by_outcome: dict[str, int]
-    """Calls by outcome, with the reason after a slash where there is one."""
+    """Calls by outcome, followed by a slash and the reason if there is one."""
     goodput_tokens: float
-    """Tokens a second of answers that completed."""
+    """Tokens per second of correct, completed answers."""
     goodput_orders: float
-    """Orders a second that completed."""
+    """Completed orders per second."""
     wasted_share: float
-    """Share of the tokens received that belong to answers that did not complete."""
+    """Share of the counted tokens that belong to attempts that did not complete."""
     wrong_answers: int
-    """Answers that were not what the caller asked for."""
+    """Answers that failed verification."""
     unanswered: int
     """Calls whose connection broke without an outcome."""
 
@@ -91,16 +91,16 @@
 
 
 def make_report(results: Sequence[CallResult], seconds: float) -> LoadReport:
-    """Add up the results of a run.
+    """Aggregate the results of a run.
 
     Args:
-        results: Every call.
-        seconds: Length of the run up to the last answer.
+        results: Results of all calls.
+        seconds: Time from the start of the run to the last answer.
     """
-    good = [each for each in results if each.outcome == COMPLETED and not each.fault]
-    tokens = sum(each.tokens for each in good)
+    correct = [each for each in results if each.outcome == COMPLETED and not each.fault]
+    tokens = sum(each.tokens for each in correct)
     wasted = sum(each.wasted_tokens for each in results)
-    orders = sum(1 for each in good if each.arrival.traffic.kind is CallKind.ORDER)
+    orders = sum(1 for each in correct if each.arrival.traffic.kind is CallKind.ORDER)
     names = dict.fromkeys(each.arrival.traffic.request_class for each in results)
     return LoadReport(
         seconds=seconds,
@@ -115,14 +115,14 @@
 
 
 def _class_report(results: Sequence[CallResult], name: str) -> ClassReport:
-    mine = [each for each in results if each.arrival.traffic.request_class == name]
-    completed = [each for each in mine if each.outcome == COMPLETED and not each.fault]
+    class_results = [each for each in results if each.arrival.traffic.request_class == name]
+    completed = [each for each in class_results if each.outcome == COMPLETED and not each.fault]
     first = [each.first_token for each in completed if each.first_token is not None]
     between = [each.between_tokens for each in completed if each.between_tokens is not None]
     return ClassReport(
-        calls=len(mine),
+        calls=len(class_results),
         completed=len(completed),
-        attained=sum(1 for each in mine if each.attained),
+        attained=sum(1 for each in class_results if each.attained),
         first_token_median=quantile(first, 0.5),
         first_token_p95=quantile(first, 0.95),
         between_tokens_median=quantile(between, 0.5),
@@ -130,7 +130,7 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float | None:
-    """Return the value below which a share of the values lies, None where there are none.
+    """Return the quantile of the values at a share, or None if there are no values.
 
     Example:
         >>> quantile([3.0, 1.0, 2.0], 0.5)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/load/traffic.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/load/traffic.py
@@ -1,4 +1,4 @@
-"""What kinds of callers there are, and when each of them calls."""
+"""Defines the traffic of the load generator and schedules its calls."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class CallKind(StrEnum):
-    """What a caller asks for."""
+    """Kind of call."""
 
     STREAM = "stream"
-    """A chat completion that comes token by token."""
+    """A streamed chat completion."""
     WHOLE = "whole"
-    """A chat completion that comes in one piece."""
+    """A chat completion returned in one response."""
     ORDER = "order"
     """An order with an idempotency key."""
     LOOKUP = "lookup"
@@ -27,29 +27,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Callers of one request class."""
+    """Calls of one kind in one request class."""
 
     request_class: str
     kind: CallKind
     rate: float
-    """Calls a second over all accounts."""
+    """Calls per second over all accounts."""
     keys: tuple[str, ...]
-    """API keys, used in turn by chance."""
+    """API keys; each call uses a random one."""
     shortest: int = 8
-    """Tokens of the shortest answer."""
+    """Minimum answer length in tokens."""
     longest: int = 60
+    """Maximum answer length in tokens."""
     first_token_target: timedelta = timedelta(seconds=1.5)
-    """Time to the first token, or to the whole answer, that counts as attained."""
+    """Target for the time to the first token, or to the whole answer if it is not streamed."""
     between_token_target: timedelta = timedelta(milliseconds=45)
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One call that will be made, whatever became of the earlier ones."""
+    """One scheduled call, made regardless of the outcome of earlier calls (open loop)."""
 
     index: int
     at: float
-    """Seconds after the start."""
+    """Seconds after the start of the run."""
     traffic: Traffic
     key: str
     tokens: int
@@ -73,16 +74,16 @@
     Traffic("order", CallKind.ORDER, 2.0, DEMO_KEYS, 0, 0, timedelta(seconds=2)),
     Traffic("lookup", CallKind.LOOKUP, 2.0, DEMO_KEYS, 0, 0, timedelta(seconds=2)),
 )
-"""The mix of the demo's site."""
+"""Traffic mix of the demo site."""
 
 
 def schedule(traffic: Sequence[Traffic], seconds: float, seed: int) -> list[Arrival]:
-    """Return the calls of a run in the order of time.
+    """Return the calls of a run in chronological order.
 
     Args:
-        traffic: The kinds of callers; each comes by a Poisson process of its own.
+        traffic: Traffic to schedule; each element is an independent Poisson process.
         seconds: Length of the run.
-        seed: Seed of every random choice.
+        seed: Seed of the random generator.
 
     Example:
         >>> first = schedule(DEMO_TRAFFIC, 5.0, seed=1)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/__init__.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""A small model of engines and callers in virtual time, driving the shipped policy code."""
+"""Simulation of engines and callers in virtual time that drives the shipped policy code."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/agent.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/agent.py
@@ -1,4 +1,4 @@
-"""Model of an agent: the shipped scheduler beside a modelled backend server."""
+"""Simulates an agent: the shipped scheduler with a simulated backend server."""
 
 from __future__ import annotations
 
@@ -22,62 +22,62 @@
     from .loop import VirtualLoop
     from .workload import Arrival
 
-TICK = 0.1
-"""Seconds between an agent's ticks."""
+TICK_INTERVAL = 0.1
+"""Seconds between scheduler ticks of an agent."""
 
-HEARTBEAT = 0.5
-"""Seconds between an agent's heartbeats."""
+HEARTBEAT_INTERVAL = 0.5
+"""Seconds between heartbeats of an agent."""
 
 
 class SchedulerLike(Protocol):
-    """The scheduler's interface, which the baselines have too."""
+    """Interface of the shipped scheduler and the baseline schedulers."""
 
     def offer(self, reservation: Reservation, now: Instant) -> list[SchedulerDecision]:
-        """Queue a reservation, or refuse it."""
+        """Queue or refuse a reservation."""
 
     def withdraw(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Forget a reservation."""
+        """Remove a reservation."""
 
     def started(self, reservation: Reservation, now: Instant) -> bool:
-        """Turn a grant into a running request."""
+        """Convert a grant into a running request."""
 
     def progressed(self, request_id: str, tokens: int, now: Instant) -> None:
-        """Record tokens."""
+        """Record generated tokens."""
 
     def preempted(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Queue a preempted request again."""
+        """Requeue a preempted request."""
 
     def finished(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Free a slot."""
+        """Release the slot of a finished request."""
 
     def tick(self, now: Instant) -> list[SchedulerDecision]:
-        """Do what is due."""
+        """Perform periodic work."""
 
     def load(self, now: Instant) -> LoadReport:
-        """Return the agent's counts."""
+        """Return the load report of the agent."""
 
 
 class EntryLike(Protocol):
-    """What an agent tells an entry; each call is a message that takes its time."""
+    """Messages from an agent to an entry; each call is delivered after the network delay."""
 
     zone: str
 
     def on_granted(self, agent_id: str, request_id: str) -> None:
-        """A slot is held."""
+        """Receive a grant: the agent holds a slot for the request."""
 
     def on_refused(self, agent_id: str, request_id: str, outcome: Outcome) -> None:
-        """The request does not run here."""
+        """Receive a refusal: the request does not run at this agent."""
 
     def on_outputs(self, agent_id: str, outputs: list[Output]) -> None:
-        """Pieces of answers."""
+        """Receive chunks of answers."""
 
     def on_agent_view(self, view: AgentView) -> None:
-        """Newest counts, by heartbeat or on a reply."""
+        """Receive the latest load of an agent, from a heartbeat or a reply."""
 
 
 @dataclass(slots=True)
-class _Held:
-    """A request at the agent, from its reservation to its end."""
+class _HeldRequest:
+    """A request at the agent, from reservation to end."""
 
     entry: EntryLike
     reservation: Reservation
@@ -105,7 +105,7 @@
         self._loop = loop
         self._scheduler = scheduler
         self._delay = delay
-        self._held_by_id: dict[str, _Held] = {}
+        self._held_by_id: dict[str, _HeldRequest] = {}
         self._entries: list[EntryLike] = []
 
     def start(self, entries: Iterable[EntryLike]) -> None:
@@ -115,37 +115,37 @@
         self._tick()
 
     def crash(self) -> None:
-        """Lose the VM with everything on it."""
+        """Simulate the loss of the VM with all its requests."""
         self.alive = False
         for run in self.backend.running():
             self.backend.cancel(run.request_id)
 
     def view(self) -> AgentView:
-        """Return what the agent tells of itself."""
+        """Return the state that the agent reports."""
         spec = self.spec
         load = self._scheduler.load(self._loop.now)
         return AgentView(self.agent_id, spec.zone, spec.kind, frozenset({spec.target}), load=load)
 
     def on_reserve(self, entry: EntryLike, reservation: Reservation) -> None:
-        """Take in a reservation."""
+        """Receive a reservation."""
         if not self.alive:
             return
-        self._held_by_id[reservation.request_id] = _Held(entry, reservation)
-        self._carry_out(self._scheduler.offer(reservation, self._loop.now))
+        self._held_by_id[reservation.request_id] = _HeldRequest(entry, reservation)
+        self._execute(self._scheduler.offer(reservation, self._loop.now))
 
     def on_withdraw(self, request_id: str) -> None:
-        """Drop a reservation, or cancel a run."""
+        """Withdraw a reservation or cancel a running request."""
         held = self._held_by_id.pop(request_id, None)
         if not self.alive or held is None:
             return
         if held.run is None:
-            self._carry_out(self._scheduler.withdraw(request_id, self._loop.now))
+            self._execute(self._scheduler.withdraw(request_id, self._loop.now))
             return
         self.backend.cancel(request_id)
-        self._carry_out(self._scheduler.finished(request_id, self._loop.now))
+        self._execute(self._scheduler.finished(request_id, self._loop.now))
 
     def on_submit(self, request_id: str, arrival: Arrival, delivered: int) -> None:
-        """Start a request on the backend server with the body that has come."""
+        """Receive the body of a granted request and start it on the backend server."""
         held = self._held_by_id.get(request_id)
         if not self.alive or held is None:
             return
@@ -157,15 +157,15 @@
 
     def _tick(self) -> None:
         if self.alive:
-            self._carry_out(self._scheduler.tick(self._loop.now))
-            self._loop.after(TICK, self._tick)
+            self._execute(self._scheduler.tick(self._loop.now))
+            self._loop.after(TICK_INTERVAL, self._tick)
 
     def _heartbeat(self) -> None:
         if self.alive:
             view = self.view()
             for entry in self._entries:
-                self._tell(entry, entry.on_agent_view, view)
-            self._loop.after(HEARTBEAT, self._heartbeat)
+                self._deliver(entry, entry.on_agent_view, view)
+            self._loop.after(HEARTBEAT_INTERVAL, self._heartbeat)
 
     def _on_outputs(self, outputs: list[Output]) -> None:
         if not self.alive:
@@ -180,13 +180,13 @@
                 finished.append(output.request_id)
         for request_id in finished:
             del self._held_by_id[request_id]
-            self._carry_out(self._scheduler.finished(request_id, self._loop.now))
+            self._execute(self._scheduler.finished(request_id, self._loop.now))
         for entry, each in by_entry.items():
-            self._tell(entry, entry.on_outputs, self.agent_id, each)
+            self._deliver(entry, entry.on_outputs, self.agent_id, each)
             if finished:
-                self._tell(entry, entry.on_agent_view, self.view())
+                self._deliver(entry, entry.on_agent_view, self.view())
 
-    def _carry_out(self, decisions: list[SchedulerDecision]) -> None:
+    def _execute(self, decisions: list[SchedulerDecision]) -> None:
         for decision in decisions:
             held = self._held_by_id.get(decision.request_id)
             if held is None:
@@ -198,7 +198,7 @@
             elif isinstance(decision, Preempt):
                 self._preempt(held)
 
-    def _grant(self, held: _Held) -> None:
+    def _grant(self, held: _HeldRequest) -> None:
         reservation = held.reservation
         if held.run is None:
             self._send(held.entry, held.entry.on_granted, self.agent_id, reservation.request_id)
@@ -207,21 +207,21 @@
         if self._scheduler.started(resumed, self._loop.now):
             self.backend.submit(held.run)
 
-    def _refuse(self, held: _Held, outcome: Outcome) -> None:
+    def _refuse(self, held: _HeldRequest, outcome: Outcome) -> None:
         request_id = held.reservation.request_id
         del self._held_by_id[request_id]
-        self._tell(held.entry, held.entry.on_agent_view, self.view())
+        self._deliver(held.entry, held.entry.on_agent_view, self.view())
         self._send(held.entry, held.entry.on_refused, self.agent_id, request_id, outcome)
 
-    def _preempt(self, held: _Held) -> None:
+    def _preempt(self, held: _HeldRequest) -> None:
         request_id = held.reservation.request_id
         self.preemptions += 1
         self.backend.cancel(request_id)
-        self._carry_out(self._scheduler.preempted(request_id, self._loop.now))
+        self._execute(self._scheduler.preempted(request_id, self._loop.now))
 
     def _send(self, entry: EntryLike, call: Callable[..., None], *arguments: object) -> None:
         self.messages += 1
-        self._tell(entry, call, *arguments)
+        self._deliver(entry, call, *arguments)
 
-    def _tell(self, entry: EntryLike, call: Callable[..., None], *arguments: object) -> None:
+    def _deliver(self, entry: EntryLike, call: Callable[..., None], *arguments: object) -> None:
         self._loop.after(self._delay(self.spec.zone, entry.zone), call, *arguments)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/baselines.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/baselines.py
@@ -1,4 +1,4 @@
-"""Plain schedulers and routers that the shipped policy is compared with."""
+"""Baseline schedulers and routers that the shipped policy is compared with."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
     from ragwortwing_policy.routing import AgentView, RouteQuery
 
 FIXED_LIMIT = 24
-"""Concurrency limit of the baselines: the best fixed one for an engine of speed 1, which gives a
-step of 44 ms."""
+"""Concurrency limit of the baselines.
+
+It is the best fixed limit for an engine of speed 1, with a step of 44 ms.
+"""
 
 REPORT_LAG = 1.0
-"""Seconds by which the engine's own load report lags."""
+"""Age in seconds of the load report that the router sees."""
 
-SOME_WAIT = timedelta(seconds=1)
-"""Wait that a baseline reports while its slots are used."""
+REPORTED_WAIT = timedelta(seconds=1)
+"""Wait that a baseline reports while all its slots are in use."""
 
 GRANT_SECONDS = 1.0
-"""Seconds for which a baseline's grant holds."""
+"""Seconds after which a baseline's unused grant expires."""
 
 
 class FifoScheduler:
-    """First in, first out, with a fixed limit and no refusal."""
+    """First-in, first-out scheduler with a fixed concurrency limit and no refusals."""
 
     def __init__(self, limit: int = FIXED_LIMIT) -> None:
         self._limit = limit
@@ -51,40 +53,40 @@
         return self._grant(now)
 
     def withdraw(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Forget a reservation; its place in the queue is passed over later."""
+        """Remove a reservation; its queue element is skipped later."""
         self._waiting.pop(request_id, None)
         self._expiry_by_id.pop(request_id, None)
         return self._grant(now)
 
     def started(self, reservation: Reservation, now: Instant) -> bool:
-        """Turn a grant into a running request."""
+        """Convert a grant into a running request."""
         if self._expiry_by_id.pop(reservation.request_id, None) is None:
             return False
         self._running.add(reservation.request_id)
         return True
 
     def progressed(self, request_id: str, tokens: int, now: Instant) -> None:
-        """Learn nothing."""
+        """Ignore progress."""
 
     def preempted(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Never happens, as nothing is preempted."""
+        """Return nothing; this scheduler never preempts."""
         return []
 
     def finished(self, request_id: str, now: Instant) -> list[SchedulerDecision]:
-        """Free a slot."""
+        """Release the slot of a finished request."""
         self._running.discard(request_id)
         return self._grant(now)
 
     def tick(self, now: Instant) -> list[SchedulerDecision]:
-        """Free the slots of bodies that did not come."""
+        """Release the slots of expired grants, whose bodies did not arrive in time."""
         for request_id in [each for each, at in self._expiry_by_id.items() if at <= now]:
             del self._expiry_by_id[request_id]
         return self._grant(now)
 
     def load(self, now: Instant) -> LoadReport:
-        """Return the counts; a wait is not predicted, but for whether there is one."""
+        """Return the load report; it tells only whether there is a wait, not how long."""
         used = len(self._running) + len(self._expiry_by_id)
-        wait = timedelta(0) if used < self._limit else SOME_WAIT
+        wait = timedelta(0) if used < self._limit else REPORTED_WAIT
         return LoadReport(used, len(self._waiting), self._limit, wait)
 
     def _push(self, reservation: Reservation) -> None:
@@ -109,24 +111,24 @@
 
 
 class StrictPriorityScheduler(FifoScheduler):
-    """The most urgent tier first, without refusal, aging or preemption."""
+    """Strict priority by tier, without refusals, aging or preemption."""
 
     def __init__(self, configuration: Configuration, limit: int = FIXED_LIMIT) -> None:
         super().__init__(limit)
         self._configuration = configuration
         self._heap: list[tuple[int, int, Reservation]] = []
-        self._numbers = count()
+        self._sequence = count()
 
     def _push(self, reservation: Reservation) -> None:
         tier = self._configuration.class_in_force(reservation.request_class).tier
-        heappush(self._heap, (tier, next(self._numbers), reservation))
+        heappush(self._heap, (tier, next(self._sequence), reservation))
 
     def _pop(self) -> Reservation | None:
         return heappop(self._heap)[2] if self._heap else None
 
 
 class RandomPushRouter(Router):
-    """One agent at random; the request stays there."""
+    """Pushes each request to one random agent, where it stays."""
 
     def __init__(self, zone: str, random: Random) -> None:
         super().__init__(zone, random, fanout=1)
@@ -134,38 +136,38 @@
         self._views_by_id: dict[str, AgentView] = {}
 
     def update(self, agent: AgentView, now: Instant) -> None:
-        """Take in an agent's newest state."""
+        """Update the state of an agent."""
         self._views_by_id[agent.agent_id] = agent
 
     def remove(self, agent_id: str, now: Instant) -> None:
-        """Forget an agent that is gone."""
+        """Remove an agent."""
         self._views_by_id.pop(agent_id, None)
 
     def is_ejected(self, agent_id: str, now: Instant) -> bool:
-        """Eject nobody."""
+        """Return False; this router never ejects an agent."""
         return False
 
     def choose(self, query: RouteQuery, now: Instant, count: int | None = None) -> Choice | NotRun:
-        """Return the one agent that gets the request."""
-        fit = [
+        """Return the one agent that receives the request."""
+        eligible = [
             each
             for each in self._views_by_id.values()
             if query.target in each.targets and each.agent_id not in query.excluded
         ]
-        if not fit:
+        if not eligible:
             return NotRun(NotRunReason.NO_BACKEND, NO_BACKEND_RETRY_AFTER)
-        return Choice((self._pick(fit, now).agent_id,))
+        return Choice((self._pick(eligible, now).agent_id,))
 
     def prompt_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
-        """Ask nobody more: a pushed request stays where it is."""
+        """Return no further agents: a pushed request stays where it is."""
         return ()
 
-    def _pick(self, fit: list[AgentView], now: Instant) -> AgentView:
-        return self._choices.choice(fit)
+    def _pick(self, eligible: list[AgentView], now: Instant) -> AgentView:
+        return self._choices.choice(eligible)
 
 
 class ShortestLaggedRouter(RandomPushRouter):
-    """The agent with the fewest requests by a report that lags."""
+    """Selects the agent with the fewest requests according to delayed load reports."""
 
     def __init__(self, zone: str, random: Random, lag: float = REPORT_LAG) -> None:
         super().__init__(zone, random)
@@ -173,14 +175,16 @@
         self._reports_by_id: dict[str, deque[tuple[Instant, LoadReport]]] = {}
 
     def update(self, agent: AgentView, now: Instant) -> None:
-        """Keep a report until it is old enough to be seen."""
+        """Store a report, which becomes visible after the lag."""
         super().update(agent, now)
         self._reports_by_id.setdefault(agent.agent_id, deque()).append((now, agent.load))
 
-    def _pick(self, fit: list[AgentView], now: Instant) -> AgentView:
-        return min(fit, key=lambda each: (self._seen(each, now), self._choices.random()))
+    def _pick(self, eligible: list[AgentView], now: Instant) -> AgentView:
+        return min(
+            eligible, key=lambda each: (self._visible_load(each, now), self._choices.random())
+        )
 
-    def _seen(self, agent: AgentView, now: Instant) -> int:
+    def _visible_load(self, agent: AgentView, now: Instant) -> int:
         reports = self._reports_by_id[agent.agent_id]
         while len(reports) > 1 and reports[1][0] <= now - self._lag:
             reports.popleft()
@@ -189,8 +193,8 @@
 
 
 class BetterOfTwoRouter(ShortestLaggedRouter):
-    """The better of two random agents by a report of a given lag."""
+    """Selects the better of two random agents according to delayed load reports."""
 
-    def _pick(self, fit: list[AgentView], now: Instant) -> AgentView:
-        sample = self._choices.sample(fit, min(2, len(fit)))
+    def _pick(self, eligible: list[AgentView], now: Instant) -> AgentView:
+        sample = self._choices.sample(eligible, min(2, len(eligible)))
         return super()._pick(sample, now)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/burst_replay.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/burst_replay.py
@@ -1,8 +1,8 @@
-"""Replays bursts of chats and drafts on a fleet of entries and engines, in virtual time.
+"""Simulates bursts of requests on a fleet of entries and engines in virtual time.
 
-The decisions are the product's own (`AdmissionQueue`, `Placement`, `RunReporter`, `RunLedger`);
-beside them stand baselines that place each request at once: at random, or on the engine with the
-least reported load.
+The shipped classes make the decisions (`AdmissionQueue`, `Placement`, `RunReporter`, `RunLedger`).
+The baselines place each request immediately: at random, or on the engine with the lowest reported
+load.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 from .batching_engine import BatchingEngine, EnginePace, EngineRun
 
 SERVICE = "engines"
-LOOK = 0.02
-"""Seconds between two looks of an entry at its line, as the entry's process has it."""
+DISPATCH_INTERVAL = 0.02
+"""Seconds between two runs of an entry's queue dispatch, as in the entry process."""
 
-HOP = 0.001
-"""Seconds that a message between two entries takes."""
+ENTRY_MESSAGE_DELAY = 0.001
+"""One-way message delay between two entries, in seconds."""
 
-REPORT_LAG = 0.1
-"""Seconds by which the load that the baseline sees is old."""
+LOAD_REPORT_INTERVAL = 0.1
+"""Seconds between updates of the engine load that the least-reported baseline sees."""
 
 
 class Placing(StrEnum):
-    """How requests are placed."""
+    """Placement strategy; `OURS` is the shipped one."""
 
     OURS = "ours"
     LEAST_REPORTED = "least_reported"
@@ -53,30 +53,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A kind of request."""
 
     name: str
     tier: int
     per_second: float
+    """Requests per second outside of bursts."""
     target: float
+    """Target in seconds for the time to the first event."""
     pause: float
+    """Target in seconds for the longest pause between two events."""
     deadline: float
+    """Seconds after arrival by which the answer must be complete."""
     prompt_tokens: float
+    """Mean tokens of the part of a prompt that is not shared."""
     shared_tokens: int
+    """Prompt tokens shared with other requests."""
     sessions: int
+    """Number of sessions that requests are drawn from."""
     output_tokens: float
+    """Mean tokens of an answer."""
     worth: float
+    """Value of an answer within its targets."""
     late_worth: float
+    """Value of an answer that misses a target but meets the deadline."""
 
 
-CHAT = Kind("chat", 0, 26.0, 0.4, 0.3, 15.0, 628, 200, 367, 290, 1.8, 0.16)
-DRAFT = Kind("draft", 1, 19.0, 0.6, 0.5, 5.0, 2890, 6300, 405, 52, 3.6, 1.1)
+CHAT = RequestKind("chat", 0, 26.0, 0.4, 0.3, 15.0, 628, 200, 367, 290, 1.8, 0.16)
+DRAFT = RequestKind("draft", 1, 19.0, 0.6, 0.5, 5.0, 2890, 6300, 405, 52, 3.6, 1.1)
 
-NOTE = Kind("note", 0, 22.0, 0.8, 0.12, 10.0, 1110, 350, 197, 170, 1.3, 0.11)
-SUMMARY = Kind("summary", 1, 10.0, 1.0, 0.2, 5.0, 2890, 6300, 85, 52, 2.8, 0.87)
-REVIEW = Kind("review", 2, 13.0, 1.5, 0.5, 8.0, 3720, 13_300, 169, 120, 1.8, 0.57)
-"""Three kinds with pause targets of their own, for engines of small chunks."""
+NOTE = RequestKind("note", 0, 22.0, 0.8, 0.12, 10.0, 1110, 350, 197, 170, 1.3, 0.11)
+SUMMARY = RequestKind("summary", 1, 10.0, 1.0, 0.2, 5.0, 2890, 6300, 85, 52, 2.8, 0.87)
+REVIEW = RequestKind("review", 2, 13.0, 1.5, 0.5, 8.0, 3720, 13_300, 169, 120, 1.8, 0.57)
+"""`NOTE`, `SUMMARY` and `REVIEW` have different pause targets, for engines with small chunks."""
 
 SMALL_CHUNKS = EnginePace(
     slots=64,
@@ -91,12 +101,12 @@
     cache_tokens=500_000,
     memory_tokens=650_000,
 )
-"""An engine that reads little at a time: reading delays every token rather than one."""
+"""An engine with small prefill chunks: prefill delays every token a little, not one token a lot."""
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """A stretch in which a kind of request comes more often."""
+    """A period with a higher arrival rate of one kind of request."""
 
     kind: str
     begins: float
@@ -106,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """One load on one fleet."""
+    """Workload and fleet of one simulation."""
 
     placing: Placing
     seed: int
@@ -114,37 +124,37 @@
     engines: int = 9
     length: float = 12.0
     scheduled: bool = True
-    """Whether one entry schedules the engines for all; else each decides for itself alone."""
+    """Whether one entry schedules for all entries; otherwise each entry decides alone."""
     report_interval: float = 0.015
-    """Seconds between two reports of an entry to the scheduler."""
+    """Seconds between two reports from an entry to the scheduler."""
     fetches: bool = True
     """Whether engines fetch KV cache from each other."""
     bursts: tuple[Burst, ...] = (Burst("draft", 0.5, 9.0, 2.3), Burst("chat", 6.0, 10.0, 1.8))
     pace: EnginePace = EnginePace()
-    kinds: tuple[Kind, ...] = (CHAT, DRAFT)
-    returns: int = 0
-    """How often a caller that is told to come back does so."""
+    kinds: tuple[RequestKind, ...] = (CHAT, DRAFT)
+    retries: int = 0
+    """Maximum retries of a caller that is refused with a retry time."""
     pauses_declared: bool = True
-    """Whether the decisions know the kinds' pause targets."""
+    """Whether the placement decisions are given the pause targets."""
 
     def pause_targets(self) -> PauseTargets | None:
-        """Return what the decisions know of the kinds' pauses."""
+        """Return the pause targets given to the placement decisions, or None."""
         pauses = [timedelta(seconds=kind.pause) for kind in self.kinds]
         return PauseTargets(min(pauses), max(pauses)) if self.pauses_declared else None
 
 
 FEW_SLOTS = EnginePace(slots=16, cache_tokens=220_000, memory_tokens=286_000)
-"""An engine that runs few requests at a time."""
+"""An engine with few slots."""
 
-LOAD_ENGINES = 39
-"""Engines that the kinds of `scaled_replay` are a full load of."""
+SCALED_REPLAY_ENGINES = 39
+"""Number of engines that the base rates of `scaled_replay` fully load."""
 
 
 def scaled_replay(seed: int, entries: int, engines: int, *, scheduled: bool = True) -> Replay:
-    """Return a burst of drafts, then of chats, with the same load an engine at any size."""
-    part = engines / LOAD_ENGINES
-    chat = replace(CHAT, per_second=68 * part, sessions=ceil(970 * part), worth=1.6)
-    draft = replace(DRAFT, per_second=101 * part, sessions=ceil(1670 * part), worth=3.2)
+    """Return a burst of drafts, then of chats, with the same load per engine at any fleet size."""
+    scale = engines / SCALED_REPLAY_ENGINES
+    chat = replace(CHAT, per_second=68 * scale, sessions=ceil(970 * scale), worth=1.6)
+    draft = replace(DRAFT, per_second=101 * scale, sessions=ceil(1670 * scale), worth=3.2)
     return Replay(
         Placing.OURS,
         seed,
@@ -157,31 +167,31 @@
     )
 
 
-SHIFTED_ENGINES = 26
-"""Engines that the kinds of `shifted_replay` are a full load of."""
+SHIFTED_REPLAY_ENGINES = 26
+"""Number of engines that the base rates of `shifted_replay` fully load."""
 
 
-def shifted_replay(seed: int, engines: int = SHIFTED_ENGINES) -> Replay:
-    """Return a cold burst of drafts, then one of chats, with events of six tokens.
+def shifted_replay(seed: int, engines: int = SHIFTED_REPLAY_ENGINES) -> Replay:
+    """Return a burst of drafts with cold caches, then one of chats, with six tokens per event.
 
-    An engine that prefills without a pause makes a token a chunk, and an event of six takes longer
-    than a draft's pause target.
+    An engine that prefills continuously generates one token per chunk, so an event of six tokens
+    takes longer than the pause target of a draft.
     """
-    part = engines / SHIFTED_ENGINES
+    scale = engines / SHIFTED_REPLAY_ENGINES
     chat = replace(
         CHAT,
-        per_second=102 * part,
+        per_second=102 * scale,
         target=0.415,
         deadline=15.57,
-        sessions=ceil(970 * part),
+        sessions=ceil(970 * scale),
         output_tokens=294,
     )
     draft = replace(
         DRAFT,
-        per_second=69.8 * part,
+        per_second=69.8 * scale,
         target=0.635,
         deadline=5.294,
-        sessions=ceil(1500 * part),
+        sessions=ceil(1500 * scale),
         output_tokens=54,
     )
     return Replay(
@@ -191,51 +201,51 @@
         bursts=(Burst("draft", 0.5, 9.5, 2.8), Burst("chat", 9.5, 12.0, 2.5)),
         pace=EnginePace(tokens_per_event=6),
         kinds=(chat, draft),
-        returns=1,
+        retries=1,
     )
 
 
 @dataclass(slots=True)
 class KindResult:
-    """What became of the requests of one kind."""
+    """Outcomes of the requests of one kind."""
 
-    asked: int = 0
+    offered: int = 0
     on_time: int = 0
     late: int = 0
     refused: int = 0
-    """Refusals, those of callers that came back among them."""
-    cut: int = 0
-    """Answers that had begun and were not whole at the deadline."""
+    """Refusals, including refused retries."""
+    timed_out: int = 0
+    """Answers that had started but were incomplete at the deadline."""
     fetches: int = 0
-    vain_fetches: int = 0
-    """Fetches that brought nothing, so that the engine read what it had been told to fetch."""
+    useless_fetches: int = 0
+    """Fetches that returned nothing new, so the engine prefilled the tokens itself."""
     worth: float = 0.0
     requests: list[_Request] = field(default_factory=list)
 
     @property
     def share_served(self) -> float:
-        """Answered whole before the deadline, of those asked."""
-        return (self.on_time + self.late) / self.asked if self.asked else 0.0
+        """Share of requests answered completely before the deadline."""
+        return (self.on_time + self.late) / self.offered if self.offered else 0.0
 
     @property
     def share_of_largest_served(self) -> float:
-        """The same of the tenth with the largest prompts."""
+        """Share served among the tenth of requests with the largest prompts."""
         ordered = sorted(self.requests, key=lambda each: -each.prompt.prompt_tokens)
         largest = ordered[: max(1, len(ordered) // 10)]
         return sum(each.is_served for each in largest) / len(largest) if largest else 0.0
 
     @property
     def share_on_time(self) -> float:
-        """On time of those asked."""
-        return self.on_time / self.asked if self.asked else 0.0
+        """Share of requests answered within all targets."""
+        return self.on_time / self.offered if self.offered else 0.0
 
 
 @dataclass(slots=True)
 class _Request:
-    kind: Kind
+    kind: RequestKind
     prompt: Prompt
     arrived_at: float
-    returns: int = 0
+    retries: int = 0
     last_event_at: float | None = None
     first_event_after: float = 0.0
     longest_pause: float = 0.0
@@ -246,7 +256,7 @@
 class _Entry:
     name: str
     placement: Placement
-    line: AdmissionQueue
+    admission_queue: AdmissionQueue
     ledger: RunLedger
     reporter: RunReporter
 
@@ -260,57 +270,57 @@
     servers: list[BackendServer] = field(default_factory=list)
     entries: list[_Entry] = field(default_factory=list)
     requests_by_ticket: dict[str, _Request] = field(default_factory=dict)
-    asked_by_key: dict[str, tuple[_Entry, str]] = field(default_factory=dict)
-    """Entry and ticket of each request, by the name that its scheduler knows it by."""
-    reported: list[int] = field(default_factory=list)
+    queued_by_key: dict[str, tuple[_Entry, str]] = field(default_factory=dict)
+    """Entry and ticket of each queued request, by its key at the scheduler."""
+    reported_loads: list[int] = field(default_factory=list)
     stepping: set[int] = field(default_factory=set)
-    queue: list[tuple[float, int, Callable[[float], None]]] = field(default_factory=list)
-    order: Iterator[int] = field(default_factory=count)
+    events: list[tuple[float, int, Callable[[float], None]]] = field(default_factory=list)
+    sequence: Iterator[int] = field(default_factory=count)
 
     def at(self, moment: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self.queue, (moment, next(self.order), action))
+        heapq.heappush(self.events, (moment, next(self.sequence), action))
 
 
 def run_replay(replay: Replay) -> dict[str, KindResult]:
-    """Run a replay.
+    """Run a simulation.
 
     Returns:
         The results by kind of request.
     """
-    fleet = _new_fleet(replay)
+    fleet = _make_fleet(replay)
     for kind in replay.kinds:
         fleet.at(0.0, _arrivals(fleet, kind))
     for entry in fleet.entries:
-        fleet.at(0.0, _looks(fleet, entry))
+        fleet.at(0.0, _dispatch_loop(fleet, entry))
         if replay.scheduled and entry is not fleet.entries[0]:
             first = fleet.random.random() * replay.report_interval
-            fleet.at(first, _run_reports(fleet, entry))
-    fleet.at(0.0, _reports(fleet))
+            fleet.at(first, _run_report_loop(fleet, entry))
+    fleet.at(0.0, _load_report_loop(fleet))
     limit = replay.length + max(kind.deadline for kind in replay.kinds)
-    while fleet.queue and fleet.queue[0][0] < limit:
-        moment, _, action = heapq.heappop(fleet.queue)
+    while fleet.events and fleet.events[0][0] < limit:
+        moment, _, action = heapq.heappop(fleet.events)
         action(moment)
     return fleet.results_by_kind
 
 
-def _new_fleet(replay: Replay) -> _Fleet:
+def _make_fleet(replay: Replay) -> _Fleet:
     fleet = _Fleet(replay, Random(replay.seed), {kind.name: KindResult() for kind in replay.kinds})
     for number in range(replay.engines):
         fleet.engines.append(BatchingEngine(replay.pace))
         fleet.servers.append(BackendServer(f"i-{number}", SERVICE, "", "", replay.pace.slots))
-        fleet.reported.append(0)
+        fleet.reported_loads.append(0)
     for number in range(replay.entries):
-        fleet.entries.append(_new_entry(fleet, f"entry-{number}"))
+        fleet.entries.append(_make_entry(fleet, f"entry-{number}"))
     return fleet
 
 
-def _new_entry(fleet: _Fleet, name: str) -> _Entry:
+def _make_entry(fleet: _Fleet, name: str) -> _Entry:
     placement = Placement()
     servers_by_id = {each.id: each for each in fleet.servers}
     traits = _traits(fleet.replay)
     ledger = RunLedger(placement, BackendTrust(), lambda key: (servers_by_id[key], traits))
-    line = AdmissionQueue(SERVICE, placement)
-    return _Entry(name, placement, line, ledger, RunReporter(name, 1, SERVICE))
+    admission_queue = AdmissionQueue(SERVICE, placement)
+    return _Entry(name, placement, admission_queue, ledger, RunReporter(name, 1, SERVICE))
 
 
 def _traits(replay: Replay) -> EngineTraits:
@@ -324,7 +334,7 @@
     )
 
 
-def _rate(replay: Replay, kind: Kind, now: float) -> float:
+def _rate(replay: Replay, kind: RequestKind, now: float) -> float:
     rate = kind.per_second
     for burst in replay.bursts:
         if burst.kind == kind.name and burst.begins <= now < burst.ends:
@@ -332,32 +342,32 @@
     return rate
 
 
-def _arrivals(fleet: _Fleet, kind: Kind) -> Callable[[float], None]:
+def _arrivals(fleet: _Fleet, kind: RequestKind) -> Callable[[float], None]:
     def arrive(now: float) -> None:
         if now >= fleet.replay.length:
             return
         fleet.at(now + fleet.random.expovariate(_rate(fleet.replay, kind, now)), arrive)
         request = _Request(kind, _prompt(fleet, kind), now)
-        ticket = f"{kind.name}-{next(fleet.order)}"
+        ticket = f"{kind.name}-{next(fleet.sequence)}"
         fleet.requests_by_ticket[ticket] = request
-        fleet.results_by_kind[kind.name].asked += 1
+        fleet.results_by_kind[kind.name].offered += 1
         fleet.results_by_kind[kind.name].requests.append(request)
         if fleet.replay.placing is Placing.OURS:
-            _enter(fleet, fleet.random.choice(fleet.entries), ticket, now)
+            _receive_request(fleet, fleet.random.choice(fleet.entries), ticket, now)
         else:
-            _submit(fleet, None, ticket, _baseline_choice(fleet), now)
+            _submit_to_engine(fleet, None, ticket, _baseline_choice(fleet), now)
 
     return arrive
 
 
-def _prompt(fleet: _Fleet, kind: Kind) -> Prompt:
+def _prompt(fleet: _Fleet, kind: RequestKind) -> Prompt:
     random = fleet.random
     session = random.randrange(kind.sessions)
     own = max(20, int(random.lognormvariate(0.0, 0.8) * kind.prompt_tokens / 1.38))
     parts = (
         PromptPart(f"{kind.name}-{session % 4}", int(kind.shared_tokens * 0.4)),
         PromptPart(f"{kind.name}-s{session}", int(kind.shared_tokens * 0.6)),
-        PromptPart(f"own-{next(fleet.order)}", own),
+        PromptPart(f"own-{next(fleet.sequence)}", own),
     )
     output = max(5, int(random.lognormvariate(0.0, 0.6) * kind.output_tokens / 1.2))
     pauses = fleet.replay.pause_targets()
@@ -365,21 +375,21 @@
     return Prompt("m", parts, sum(part.tokens for part in parts), output, bears_reading)
 
 
-def _enter(fleet: _Fleet, entry: _Entry, ticket: str, now: float) -> None:
-    """Take a request of a caller, and queue it where it is decided on."""
+def _receive_request(fleet: _Fleet, entry: _Entry, ticket: str, now: float) -> None:
+    """Receive a request from a caller and forward it to the scheduler's queue."""
     scheduler = fleet.entries[0] if fleet.replay.scheduled else entry
     key = ticket if scheduler is entry else run_key(entry.name, ticket)
-    fleet.asked_by_key[key] = (entry, ticket)
+    fleet.queued_by_key[key] = (entry, ticket)
     if scheduler is entry:
-        _queue(fleet, scheduler, key, now)
+        _enqueue(fleet, scheduler, key, now)
     else:
-        fleet.at(now + HOP, lambda at: _queue(fleet, scheduler, key, at))
+        fleet.at(now + ENTRY_MESSAGE_DELAY, lambda at: _enqueue(fleet, scheduler, key, at))
 
 
-def _queue(fleet: _Fleet, scheduler: _Entry, key: str, now: float) -> None:
-    request = fleet.requests_by_ticket[fleet.asked_by_key[key][1]]
+def _enqueue(fleet: _Fleet, scheduler: _Entry, key: str, now: float) -> None:
+    request = fleet.requests_by_ticket[fleet.queued_by_key[key][1]]
     kind = request.kind
-    # An entry does not know when a caller that comes back first asked, only what is left to it.
+    # On a retry the entry knows the remaining deadline but not the time of the first attempt.
     waiter = Waiter(kind.tier, now + kind.target, request.arrived_at + kind.deadline, now)
     pauses = fleet.replay.pause_targets()
     waiting = WaitingRequest(
@@ -390,21 +400,23 @@
         shortest_pause=pauses.shortest.total_seconds() if pauses else None,
         pause_target=kind.pause,
     )
-    scheduler.line.enter(waiting, now)
-    _look(fleet, scheduler, now)
+    scheduler.admission_queue.enter(waiting, now)
+    _dispatch(fleet, scheduler, now)
 
 
-def _look(fleet: _Fleet, scheduler: _Entry, now: float) -> None:
-    for decision in scheduler.line.dispatch(_traits(fleet.replay), lambda _: fleet.servers, now):
-        entry, ticket = fleet.asked_by_key.pop(decision.request.ticket)
+def _dispatch(fleet: _Fleet, scheduler: _Entry, now: float) -> None:
+    for decision in scheduler.admission_queue.dispatch(
+        _traits(fleet.replay), lambda _: fleet.servers, now
+    ):
+        entry, ticket = fleet.queued_by_key.pop(decision.request.ticket)
         if isinstance(decision, Granted):
             if entry is scheduler:
                 _start(fleet, entry, ticket, decision, now)
             else:
                 scheduler.ledger.granted(SERVICE, entry.name, 1, ticket, decision.backend.id, now)
-                fleet.at(now + HOP, _granted(fleet, entry, ticket, decision))
+                fleet.at(now + ENTRY_MESSAGE_DELAY, _granted(fleet, entry, ticket, decision))
         else:
-            _come_back(fleet, decision, ticket, now)
+            _schedule_retry(fleet, decision, ticket, now)
 
 
 def _granted(
@@ -425,50 +437,50 @@
     number = fleet.servers.index(decision.backend)
     source = decision.reading.fetch_from
     fetch_from = None if source is None else fleet.engines[fleet.servers.index(source)]
-    _submit(fleet, entry, ticket, number, now, fetch_from)
+    _submit_to_engine(fleet, entry, ticket, number, now, fetch_from)
 
 
-def _come_back(fleet: _Fleet, decision: Rejected, ticket: str, now: float) -> None:
-    """Let a refused caller come back to any entry when it was told to."""
+def _schedule_retry(fleet: _Fleet, decision: Rejected, ticket: str, now: float) -> None:
+    """Schedule the retry of a refused caller, at a random entry and at the time it was given."""
     request = fleet.requests_by_ticket[ticket]
     fleet.results_by_kind[request.kind.name].refused += 1
-    if decision.retry_after is None or request.returns >= fleet.replay.returns:
+    if decision.retry_after is None or request.retries >= fleet.replay.retries:
         return
-    request.returns += 1
+    request.retries += 1
     entry = fleet.random.choice(fleet.entries)
-    returns_at = now + decision.retry_after.total_seconds()
-    fleet.at(returns_at, lambda at: _enter(fleet, entry, ticket, at))
+    retry_at = now + decision.retry_after.total_seconds()
+    fleet.at(retry_at, lambda at: _receive_request(fleet, entry, ticket, at))
 
 
-def _looks(fleet: _Fleet, entry: _Entry) -> Callable[[float], None]:
-    def look(now: float) -> None:
-        _look(fleet, entry, now)
-        fleet.at(now + LOOK, look)
+def _dispatch_loop(fleet: _Fleet, entry: _Entry) -> Callable[[float], None]:
+    def dispatch(now: float) -> None:
+        _dispatch(fleet, entry, now)
+        fleet.at(now + DISPATCH_INTERVAL, dispatch)
 
-    return look
+    return dispatch
 
 
-def _run_reports(fleet: _Fleet, entry: _Entry) -> Callable[[float], None]:
+def _run_report_loop(fleet: _Fleet, entry: _Entry) -> Callable[[float], None]:
     def send(now: float) -> None:
         if entry.reporter.has_news or entry.reporter.is_due(now):
             report = entry.reporter.report(now)
-            fleet.at(now + HOP, _received(fleet, report))
+            fleet.at(now + ENTRY_MESSAGE_DELAY, _report_received(fleet, report))
         fleet.at(now + fleet.replay.report_interval, send)
 
     return send
 
 
-def _received(fleet: _Fleet, report: RunReport) -> Callable[[float], None]:
+def _report_received(fleet: _Fleet, report: RunReport) -> Callable[[float], None]:
     def take(now: float) -> None:
         fleet.entries[0].ledger.take(report, now)
 
     return take
 
 
-def _reports(fleet: _Fleet) -> Callable[[float], None]:
+def _load_report_loop(fleet: _Fleet) -> Callable[[float], None]:
     def report(now: float) -> None:
-        fleet.reported = [engine.load for engine in fleet.engines]
-        fleet.at(now + REPORT_LAG, report)
+        fleet.reported_loads = [engine.load for engine in fleet.engines]
+        fleet.at(now + LOAD_REPORT_INTERVAL, report)
 
     return report
 
@@ -476,11 +488,11 @@
 def _baseline_choice(fleet: _Fleet) -> int:
     if fleet.replay.placing is Placing.RANDOM:
         return fleet.random.randrange(len(fleet.engines))
-    least = min(fleet.reported)
-    return fleet.random.choice([n for n, load in enumerate(fleet.reported) if load == least])
+    least = min(fleet.reported_loads)
+    return fleet.random.choice([n for n, load in enumerate(fleet.reported_loads) if load == least])
 
 
-def _submit(
+def _submit_to_engine(
     fleet: _Fleet,
     entry: _Entry | None,
     ticket: str,
@@ -496,7 +508,7 @@
             request.first_event_after = at - request.arrived_at
             result = fleet.results_by_kind[request.kind.name]
             result.fetches += run.fetch_from is not None
-            result.vain_fetches += run.fetched_in_vain
+            result.useless_fetches += run.fetch_was_useless
             if entry is not None:
                 entry.placement.first_event(f"i-{number}", ticket, at)
                 entry.reporter.first_event(ticket)
@@ -512,17 +524,17 @@
         if load is not None and entry is not None:
             load.end(ticket, at)
             entry.reporter.end(ticket, failed=False)
-        _settle(fleet, request, at)
+        _record_result(fleet, request, at)
 
     run = EngineRun(request.prompt, request.kind.tier, now, on_event, on_end, fetch_from)
     fleet.engines[number].submit(run)
     fleet.at(request.arrived_at + request.kind.deadline, lambda _: setattr(run, "ended", True))
     if number not in fleet.stepping:
         fleet.stepping.add(number)
-        fleet.at(now, _steps(fleet, number))
+        fleet.at(now, _step_loop(fleet, number))
 
 
-def _steps(fleet: _Fleet, number: int) -> Callable[[float], None]:
+def _step_loop(fleet: _Fleet, number: int) -> Callable[[float], None]:
     def step(now: float) -> None:
         engine = fleet.engines[number]
         if not engine.busy:
@@ -533,10 +545,10 @@
     return step
 
 
-def _settle(fleet: _Fleet, request: _Request, at: float) -> None:
+def _record_result(fleet: _Fleet, request: _Request, at: float) -> None:
     kind, result = request.kind, fleet.results_by_kind[request.kind.name]
     if at - request.arrived_at > kind.deadline:
-        result.cut += 1
+        result.timed_out += 1
         return
     request.is_served = True
     if request.first_event_after <= kind.target and request.longest_pause <= kind.pause:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/engine.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/engine.py
@@ -1,4 +1,4 @@
-"""Model of a backend server: an engine that batches continuously, and a plain service."""
+"""Simulates backend servers: an engine with continuous batching and a plain service."""
 
 from __future__ import annotations
 
@@ -18,65 +18,67 @@
     from .loop import VirtualLoop
 
 STEP_BASE = 0.020
-"""Seconds of a step with an empty batch, at speed 1."""
+"""Duration in seconds of a step with an empty batch at speed 1."""
 
 STEP_PER_STREAM = 0.001
-"""Seconds that each stream adds to a step."""
+"""Seconds added to a step by each stream."""
 
 PREFILL_RATE = 16_000
-"""Prompt tokens a second."""
+"""Prompt tokens prefilled per second."""
 
 PREFILL_CHUNK = 512
-"""Prompt tokens worked off in one step at the most."""
+"""Maximum prompt tokens prefilled in one step."""
 
 CACHED_PREFIXES = 8
-"""Prefixes that an engine's memory holds."""
+"""Number of prompt prefixes that an engine caches."""
 
 CACHED_STREAMS = 16
-"""Cancelled streams whose KV cache an engine's memory holds; one that is resumed on the same engine
-finds its prompt and its text there, as any prompt finds its prefix."""
+"""Number of cancelled streams whose KV cache an engine retains.
+
+A stream resumed on the same engine reuses its cached prompt and text like a cached prefix.
+"""
 
 TOKENS_PER_REPORT = 4
-"""Tokens of a stream after its first that the model hands on together, to save events."""
+"""Tokens after a stream's first that are reported together, to reduce simulation events."""
 
-FROZEN_POLL = 0.05
-"""Seconds between looks of a frozen engine whether it may go on."""
+FROZEN_POLL_INTERVAL = 0.05
+"""Seconds between checks whether a frozen engine may continue."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackendSpec:
-    """What a backend server of an experiment is."""
+    """Properties of a simulated backend server."""
 
     name: str
     zone: str
     speed: float = 1.0
     kind: BackendKind = BackendKind.ENGINE
     slots: int = 64
-    """Streams in a batch, or calls at one time."""
+    """Maximum streams in a batch, or concurrent calls."""
 
     @property
     def target(self) -> str:
-        """What it serves."""
+        """Name of the model or service that it serves."""
         return MODEL if self.kind is BackendKind.ENGINE else DESK
 
 
 @dataclass(slots=True)
 class Run:
-    """A request at a backend server."""
+    """A request on a backend server."""
 
     request_id: str
     arrival: Arrival
     produced: int = 0
-    """Tokens generated, those of earlier runs among them."""
+    """Tokens generated, including those of earlier runs."""
     reported: int = 0
     prefill: int = 0
-    """Prompt tokens still to work off."""
+    """Prompt tokens not yet prefilled."""
     started: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """What a request got at one moment."""
+    """Output of a request at one instant."""
 
     request_id: str
     tokens: int
@@ -84,27 +86,27 @@
 
 
 class Backend(Protocol):
-    """A backend server as its agent uses it."""
+    """Interface of a backend server to its agent."""
 
     generated: int
-    """Tokens of answers, over all requests."""
+    """Tokens generated over all requests."""
     prefilled: int
-    """Prompt tokens worked off."""
+    """Prompt tokens prefilled."""
     speed_factor: float
     frozen_until: Instant
 
     def submit(self, run: Run) -> None:
-        """Begin to work on a request."""
+        """Start a request."""
 
     def cancel(self, request_id: str) -> int:
-        """Stop a request and return the tokens it has so far."""
+        """Stop a request and return its number of generated tokens."""
 
     def running(self) -> list[Run]:
-        """Return the requests being worked on."""
+        """Return the running requests."""
 
 
 class BackendModel:
-    """What every model of a backend server has: its place in time, its speed and its runs."""
+    """Common state of the simulated backend servers: event loop, speed and running requests."""
 
     def __init__(
         self, loop: VirtualLoop, spec: BackendSpec, on_output: Callable[[list[Output]], None]
@@ -120,7 +122,7 @@
 
 
 class EngineModel(BackendModel):
-    """Continuous batching: each step gives every stream of the batch one token."""
+    """An engine with continuous batching: each step generates one token for every stream."""
 
     def __init__(
         self, loop: VirtualLoop, spec: BackendSpec, on_output: Callable[[list[Output]], None]
@@ -131,7 +133,7 @@
         self._stepping = False
 
     def submit(self, run: Run) -> None:
-        """Add a request to the batch; its prompt is worked off first."""
+        """Add a request to the batch; its prompt is prefilled first."""
         arrival = run.arrival
         cached = arrival.prefix_tokens if arrival.prefix_hash in self._prefixes else 0
         cached = max(cached, self._cancelled.pop(run.request_id, 0))
@@ -161,13 +163,13 @@
             self._stepping = False
             return
         if self._loop.now < self.frozen_until:
-            self._loop.after(FROZEN_POLL, self._step)
+            self._loop.after(FROZEN_POLL_INTERVAL, self._step)
             return
-        decoding, prefilled = self._compose()
+        decoding, prefilled = self._form_batch()
         seconds = STEP_BASE + STEP_PER_STREAM * len(decoding) + prefilled / PREFILL_RATE
         self._loop.after(seconds / (self._spec.speed * self.speed_factor), self._end_step, decoding)
 
-    def _compose(self) -> tuple[list[Run], int]:
+    def _form_batch(self) -> tuple[list[Run], int]:
         chunk = PREFILL_CHUNK
         decoding: list[Run] = []
         for run in self._runs_by_id.values():
@@ -195,14 +197,14 @@
                 del self._runs_by_id[run.request_id]
             unreported = run.produced - run.reported
             if finished or not run.started or unreported >= TOKENS_PER_REPORT:
-                self._start(run)
+                self._mark_started(run)
                 run.reported = run.produced
                 outputs.append(Output(run.request_id, unreported, finished))
         if outputs:
             self._on_output(outputs)
         self._step()
 
-    def _start(self, run: Run) -> None:
+    def _mark_started(self, run: Run) -> None:
         if run.started:
             return
         run.started = True
@@ -214,20 +216,20 @@
 
 
 class ServiceModel(BackendModel):
-    """A plain service: each call takes its time, whatever runs beside it."""
+    """A plain service: the duration of a call does not depend on concurrent calls."""
 
     def submit(self, run: Run) -> None:
-        """Begin a call."""
+        """Start a call."""
         self._runs_by_id[run.request_id] = run
         seconds = run.arrival.output / 1000 / (self._spec.speed * self.speed_factor)
         self._loop.after(seconds, self._end, run)
 
     def cancel(self, request_id: str) -> int:
-        """Leave the call alone: what a service was sent, it runs."""
+        """Do nothing: a service always completes a call that it received."""
         return 0
 
     def running(self) -> list[Run]:
-        """Return the calls being worked on."""
+        """Return the running calls."""
         return list(self._runs_by_id.values())
 
     def _end(self, run: Run) -> None:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/entry.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/entry.py
@@ -1,4 +1,4 @@
-"""Model of an entry: the shipped router, retry budget and dispatch for every request."""
+"""Simulates an entry with the shipped router, retry budget and request dispatch."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     from .loop import VirtualLoop
 
 RETRY_AT_ONCE_AFTER = 0.02
-"""Seconds a caller that retries at once takes for it."""
+"""Delay in seconds of a caller that retries at once."""
 
 MAXIMUM_ATTEMPTS = 20
-"""Times a caller that retries sends one request."""
+"""Maximum attempts of a caller per request."""
 
 
 @dataclass(slots=True)
 class Record:
-    """What became of one request, as its caller saw it."""
+    """Result of one request as seen by its caller."""
 
     arrival: Arrival
     tier: int
@@ -46,12 +46,12 @@
     """Tokens delivered between the warm-up and the end of the arrivals."""
     outcome: Outcome | None = None
     inverted: bool = False
-    """Refused while a less urgent request ran on an engine that could have served it."""
+    """Whether it was refused while a less urgent request ran on a server that could serve it."""
 
 
 @dataclass(slots=True)
-class _Open:
-    """A request that has not ended."""
+class _OpenRequest:
+    """A request in progress."""
 
     dispatch: Dispatch
     record: Record
@@ -60,7 +60,7 @@
 
 
 class EntryModel:
-    """One entry VM."""
+    """A simulated entry VM."""
 
     def __init__(
         self,
@@ -86,13 +86,13 @@
         self._delay = delay
         self._could_serve = could_serve
         self._counted_from, self._counted_until = counted
-        self._numbers = count()
-        self._open_by_id: dict[str, _Open] = {}
+        self._sequence = count()
+        self._open_by_id: dict[str, _OpenRequest] = {}
 
     def on_arrival(self, arrival: Arrival) -> None:
-        """Begin a request."""
+        """Start a request."""
         request_class = self._configuration.class_in_force(arrival.class_name)
-        request_id = f"{self._name}-{next(self._numbers)}"
+        request_id = f"{self._name}-{next(self._sequence)}"
         query = RouteQuery(
             request_id,
             arrival.target,
@@ -106,26 +106,26 @@
         record = Record(arrival, request_class.tier)
         self.records.append(record)
         dispatch = Dispatch(query, self._router, self._budget, deadline)
-        self._open_by_id[request_id] = _Open(dispatch, record, deadline)
-        self._carry_out(request_id, dispatch.on_start(now))
+        self._open_by_id[request_id] = _OpenRequest(dispatch, record, deadline)
+        self._execute(request_id, dispatch.on_start(now))
 
     def on_granted(self, agent_id: str, request_id: str) -> None:
-        """Pass a grant on, or hand it back where the request is gone."""
+        """Pass a grant to its request, or withdraw it if the request has ended."""
         request = self._open_by_id.get(request_id)
         if request is None:
-            self._carry_out_one(request_id, None, WithdrawFrom(agent_id))
+            self._execute_one(request_id, None, WithdrawFrom(agent_id))
             return
-        self._carry_out(request_id, request.dispatch.on_granted(agent_id, self._loop.now))
+        self._execute(request_id, request.dispatch.on_granted(agent_id, self._loop.now))
 
     def on_refused(self, agent_id: str, request_id: str, outcome: Outcome) -> None:
-        """Pass a refusal on."""
+        """Pass a refusal to its request."""
         request = self._open_by_id.get(request_id)
         if request is not None:
             decisions = request.dispatch.on_refused(agent_id, outcome, self._loop.now)
-            self._carry_out(request_id, decisions)
+            self._execute(request_id, decisions)
 
     def on_outputs(self, agent_id: str, outputs: list[Output]) -> None:
-        """Deliver pieces of answers."""
+        """Deliver chunks of answers to the callers."""
         for output in outputs:
             request = self._open_by_id.get(output.request_id)
             if request is None or request.dispatch.agent_id != agent_id:
@@ -140,38 +140,38 @@
             if output.finished:
                 decisions += request.dispatch.on_ended(agent_id, Completed(record.tokens), now)
             if decisions:
-                self._carry_out(output.request_id, decisions)
+                self._execute(output.request_id, decisions)
 
     def on_agent_view(self, view: AgentView) -> None:
-        """Take in an agent's counts."""
+        """Update the router with the load of an agent."""
         if self._agents_by_id[view.agent_id].alive:
             self._router.update(view, self._loop.now)
 
     def on_agent_lost(self, agent_id: str) -> None:
-        """Act on a connection found dead."""
+        """Handle a lost connection to an agent."""
         self._router.remove(agent_id, self._loop.now)
         for request_id, request in list(self._open_by_id.items()):
             decisions = request.dispatch.on_agent_lost(agent_id, self._loop.now)
-            self._carry_out(request_id, decisions)
+            self._execute(request_id, decisions)
 
     def _wake(self, request_id: str) -> None:
         request = self._open_by_id.get(request_id)
         if request is None or request.wake_at is None or request.wake_at > self._loop.now:
             return
         request.wake_at = None
-        self._carry_out(request_id, request.dispatch.on_tick(self._loop.now))
+        self._execute(request_id, request.dispatch.on_tick(self._loop.now))
 
-    def _carry_out(self, request_id: str, decisions: Iterable[DispatchDecision]) -> None:
+    def _execute(self, request_id: str, decisions: Iterable[DispatchDecision]) -> None:
         request = self._open_by_id[request_id]
         for decision in decisions:
-            self._carry_out_one(request_id, request, decision)
+            self._execute_one(request_id, request, decision)
         wake_at = request.dispatch.wake_at
         if wake_at is not None and wake_at != request.wake_at:
             request.wake_at = wake_at
             self._loop.at(wake_at, self._wake, request_id)
 
-    def _carry_out_one(
-        self, request_id: str, request: _Open | None, decision: DispatchDecision
+    def _execute_one(
+        self, request_id: str, request: _OpenRequest | None, decision: DispatchDecision
     ) -> None:
         if isinstance(decision, WithdrawFrom):
             agent = self._agents_by_id[decision.agent_id]
@@ -188,7 +188,7 @@
         elif isinstance(decision, Conclude):
             self._conclude(request_id, request.record, decision.outcome)
 
-    def _reservation(self, request_id: str, request: _Open) -> Reservation:
+    def _reservation(self, request_id: str, request: _OpenRequest) -> Reservation:
         arrival = request.record.arrival
         return Reservation(
             request_id=request_id,
@@ -213,11 +213,11 @@
     def _retry(self, arrival: Arrival, outcome: NotRun) -> None:
         if arrival.retry is RetryStyle.NEVER or arrival.attempt + 1 >= MAXIMUM_ATTEMPTS:
             return
-        pause = RETRY_AT_ONCE_AFTER
+        delay = RETRY_AT_ONCE_AFTER
         if arrival.retry is RetryStyle.AFTER and outcome.retry_after is not None:
-            pause = outcome.retry_after.total_seconds()
-        again = replace(arrival, at=self._loop.now + pause, attempt=arrival.attempt + 1)
-        self._loop.after(pause, self.on_arrival, again)
+            delay = outcome.retry_after.total_seconds()
+        retried = replace(arrival, at=self._loop.now + delay, attempt=arrival.attempt + 1)
+        self._loop.after(delay, self.on_arrival, retried)
 
     def _send(self, agent: AgentModel, call: Callable[..., None], *arguments: object) -> None:
         self.messages += 1
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/loop.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/loop.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of callbacks."""
+"""Discrete-event loop in virtual time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VirtualLoop:
-    """Runs callbacks in the order of their instants; equal instants run in the order of calls."""
+    """Runs callbacks in time order; callbacks of the same instant run in the order scheduled."""
 
     def __init__(self) -> None:
         self.now: Instant = 0.0
@@ -21,16 +21,16 @@
         self._sequence = count()
 
     def at(self, instant: Instant, callback: Callable[..., None], *arguments: object) -> None:
-        """Run a callback at an instant, or now where that has passed."""
+        """Schedule a callback at an instant, or now if it has passed."""
         entry = (max(instant, self.now), next(self._sequence), callback, arguments)
         heappush(self._heap, entry)
 
     def after(self, seconds: float, callback: Callable[..., None], *arguments: object) -> None:
-        """Run a callback after a time."""
+        """Schedule a callback after a delay in seconds."""
         self.at(self.now + seconds, callback, *arguments)
 
     def run(self, until: Instant) -> None:
-        """Run everything due up to an instant."""
+        """Run all callbacks due up to and including an instant."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, callback, arguments = heappop(self._heap)
             callback(*arguments)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/site.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/site.py
@@ -1,4 +1,4 @@
-"""A site in virtual time: entries, agents and backend servers under a workload and faults."""
+"""Simulates a site in virtual time: entries, agents, backend servers, workload and faults."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 ZONES = ("suva", "nadi", "lautoka")
 
 SAME_ZONE_DELAY = 0.0003
-"""Seconds one way between two VMs of a zone."""
+"""One-way delay in seconds between two VMs of the same availability zone."""
 
 OTHER_ZONE_DELAY = 0.001
-"""Seconds one way between two VMs of different zones."""
+"""One-way delay in seconds between two VMs of different availability zones."""
 
-DETECTION = 1.0
-"""Seconds until an entry finds the connection to a crashed VM dead."""
+CRASH_DETECTION_SECONDS = 1.0
+"""Seconds until an entry detects a lost connection to a crashed VM."""
 
-DRAIN = 30.0
-"""Seconds that the run goes on after the last arrival."""
+DRAIN_SECONDS = 30.0
+"""Seconds that a run continues after the last arrival."""
 
 USABLE_SPEED = 0.5
-"""Share of its own speed below which an engine counts as unable to serve."""
+"""Share of its normal speed below which an engine counts as unable to serve."""
 
 REQUEST_CLASSES = (
     RequestClass("chat", 0, timedelta(seconds=1.5), deadline=timedelta(seconds=15)),
@@ -69,11 +69,14 @@
         aging_bound=timedelta(seconds=60),
     ),
 )
-"""The classes of both users of today: name, tier, first token, between tokens, deadline."""
+"""The request classes of both current users.
+
+Positional fields: name, tier, first-token target, between-token target, deadline.
+"""
 
 
 def configure(classes: Iterable[RequestClass] = REQUEST_CLASSES) -> Configuration:
-    """Return a configuration of some request classes with one preset."""
+    """Return a configuration with the given request classes and one preset."""
     return Configuration(
         revision=0,
         preset="ordinary",
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that happens to one backend server."""
+    """A change of speed, a freeze or a crash of one backend server."""
 
     at: Instant
     backend: str
@@ -95,22 +98,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What one experiment puts the site through."""
+    """Backend servers, workload and faults of a simulation."""
 
     backends: Sequence[BackendSpec]
     traffics: Sequence[Traffic]
     duration: float
     faults: Sequence[Fault] = ()
     entries: int = 3
-    drain: float = DRAIN
+    drain: float = DRAIN_SECONDS
     warm_up: float = 0.0
-    """Seconds left out of the counted tokens, while the batches fill."""
+    """Seconds at the start whose tokens are not counted, while the batches fill."""
     configuration: Configuration = field(default_factory=configure)
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """What a run left behind."""
+    """Records and totals of a run."""
 
     variant: str
     duration: float
@@ -122,12 +125,12 @@
 
 
 def delay(one: str, other: str) -> float:
-    """Return the seconds that a message takes."""
+    """Return the one-way message delay between two zones, in seconds."""
     return SAME_ZONE_DELAY if one == other else OTHER_ZONE_DELAY
 
 
 def run(scenario: Scenario, variant: Variant, seed: int) -> Trace:
-    """Run a scenario under one variant; the same seed gives every variant the same callers."""
+    """Run a scenario under one variant; with the same seed every variant gets the same arrivals."""
     return _Site(scenario, variant, seed).run()
 
 
@@ -146,7 +149,7 @@
         for spec in scenario.backends:
             self._add_agent(spec)
         for fault in scenario.faults:
-            self._loop.at(fault.at, self._apply, fault)
+            self._loop.at(fault.at, self._inject, fault)
         balancer = Random(f"{self._seed}/balancer")
         for arrival in arrivals(scenario.traffics, scenario.duration, self._seed):
             entry = balancer.choice(self._entries)
@@ -187,17 +190,17 @@
             entry.on_agent_view(agent.view())
         agent.start(self._entries)
 
-    def _apply(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         agent = self._agents_by_id[fault.backend]
         agent.backend.speed_factor = fault.speed_factor
         agent.backend.frozen_until = self._loop.now + fault.frozen_for
         if fault.crash:
             agent.crash()
             for entry in self._entries:
-                self._loop.after(DETECTION, entry.on_agent_lost, agent.agent_id)
+                self._loop.after(CRASH_DETECTION_SECONDS, entry.on_agent_lost, agent.agent_id)
 
     def _could_serve(self, arrival: Arrival, tier: int) -> bool:
-        """Return whether a less urgent request runs on an engine that could serve this one."""
+        """Return whether a server that could serve this request runs a less urgent one."""
         return any(
             self._tier(run.arrival) > tier
             for agent in self._agents_by_id.values()
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/variants.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/variants.py
@@ -1,4 +1,4 @@
-"""What is compared: the shipped policy and the baselines, each a router and a scheduler."""
+"""Variants to compare: the shipped policy and baselines, each with a router and a scheduler."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .engine import BackendSpec
 
 SERVICE_SLOTS = 8
-"""Calls at one time at a plain service."""
+"""Concurrent calls of a plain service."""
 
 
 def make_router(zone: str, random: Random) -> Router:
@@ -38,12 +38,12 @@
 
 
 def make_fifo(configuration: Configuration, spec: BackendSpec) -> SchedulerLike:
-    """Return a scheduler that serves in order of arrival."""
+    """Return a first-in, first-out scheduler."""
     return FifoScheduler(SERVICE_SLOTS) if spec.kind is BackendKind.SERVICE else FifoScheduler()
 
 
 def make_strict(configuration: Configuration, spec: BackendSpec) -> SchedulerLike:
-    """Return a scheduler that serves the most urgent first and preempts nothing."""
+    """Return a strict priority scheduler without preemption."""
     if spec.kind is BackendKind.SERVICE:
         return StrictPriorityScheduler(configuration, SERVICE_SLOTS)
     return StrictPriorityScheduler(configuration)
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One way to route and schedule."""
+    """A named combination of a router and a scheduler."""
 
     name: str
     router: Callable[[str, Random], Router] = make_router
@@ -59,7 +59,7 @@
 
 
 SHIPPED = Variant("ragwortwing")
-"""The policy code that the processes run."""
+"""The policy code of the shipped processes."""
 
 BASELINES = (
     Variant("fifo, no shedding", scheduler=make_fifo),
@@ -67,4 +67,4 @@
     Variant("shortest, lagged", ShortestLaggedRouter, make_fifo),
     Variant("strict priority", scheduler=make_strict),
 )
-"""What the shipped policy is measured against in the same run."""
+"""Baselines that the shipped policy is compared with."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/workload.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/workload.py
@@ -1,4 +1,4 @@
-"""Callers: arrivals of each class, lengths, accounts, surges and how callers retry."""
+"""Generates the workload: arrivals per class, lengths, accounts, surges and retry behaviour."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
     from collections.abc import Iterator, Sequence
 
 MODEL = "baker-large"
-"""The model that all engines of an experiment serve."""
+"""Name of the model that all engines serve."""
 
 DESK = "orders"
-"""The plain service that takes orders."""
+"""Name of the plain service that accepts orders."""
 
 
 class RetryStyle(Enum):
-    """What a caller does when told that its request was not run."""
+    """Behaviour of a caller whose request was not run."""
 
     NEVER = auto()
     AFTER = auto()
-    """Comes back after the time it was told."""
+    """Retries after the time given in the refusal."""
     AT_ONCE = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Lognormal:
-    """A distribution of lengths that nobody knows beforehand."""
+    """Lognormal distribution of lengths; the policy does not know the drawn length in advance."""
 
     median: float
     sigma: float
 
     def draw(self, random: Random) -> int:
-        """Return a length of at least one."""
+        """Return a random length of at least one."""
         return max(1, round(random.lognormvariate(log(self.median), self.sigma)))
 
     @property
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Surge:
-    """A time in which a class sends a multiple of its rate."""
+    """A period in which a class sends a multiple of its rate."""
 
     start: Instant
     end: Instant
@@ -59,33 +59,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountShare:
-    """A client account's part of a class's requests."""
+    """Relative share of a client account in the requests of a class."""
 
     name: str
     share: float
 
 
 def equal_accounts(count: int) -> tuple[AccountShare, ...]:
-    """Return accounts that send alike."""
+    """Return accounts with equal shares."""
     return tuple(AccountShare(f"account-{each}", 1.0) for each in range(count))
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """The requests of one class."""
+    """Traffic of one request class."""
 
     class_name: str
     rate: float
-    """Requests a second outside of surges."""
+    """Requests per second outside of surges."""
     output: Lognormal
-    """Tokens of an answer; for a plain service, milliseconds of work."""
+    """Tokens of an answer or, for a plain service, milliseconds of work."""
     prompt_tokens: int = 0
     prefix_tokens: int = 0
-    """Tokens at the prompt's start that are shared with other requests."""
+    """Tokens at the start of the prompt that are shared with other requests."""
     prefixes: int = 0
-    """Different shared prefixes, equally often used; 0 for none."""
+    """Number of shared prefixes, used equally often; 0 for none."""
     hot_share: float = 0.0
-    """Share of the requests that use the first prefix besides their even part."""
+    """Share of requests that use the first prefix, in addition to its equal share of the rest."""
     accounts: tuple[AccountShare, ...] = field(default_factory=lambda: equal_accounts(10))
     surges: tuple[Surge, ...] = ()
     retry: RetryStyle = RetryStyle.NEVER
@@ -93,13 +93,13 @@
 
     @property
     def target(self) -> str:
-        """What serves the class."""
+        """Name of the model or service that serves the class."""
         return MODEL if self.kind is BackendKind.ENGINE else DESK
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request of a caller."""
+    """One request from a caller."""
 
     at: Instant
     class_name: str
@@ -120,7 +120,7 @@
 
 
 def arrivals(traffics: Sequence[Traffic], duration: Instant, seed: int) -> list[Arrival]:
-    """Return every first request of an experiment; each class has its own random stream."""
+    """Return all arrivals without retries; each class has its own random stream."""
     result: list[Arrival] = []
     for traffic in traffics:
         random = Random(f"{seed}/{traffic.class_name}")
@@ -136,7 +136,7 @@
         now += random.expovariate(traffic.rate * highest)
         if now >= duration:
             return
-        if random.random() * highest > _factor(traffic, now):
+        if random.random() * highest > _surge_factor(traffic, now):
             continue
         (account,) = random.choices(traffic.accounts, cum_weights=cumulative)
         yield Arrival(
@@ -153,7 +153,7 @@
         )
 
 
-def _factor(traffic: Traffic, now: Instant) -> float:
+def _surge_factor(traffic: Traffic, now: Instant) -> float:
     for surge in traffic.surges:
         if surge.start <= now < surge.end:
             return surge.factor
--- a/packages/ragwortwing-lab/tests/test_load.py
+++ b/packages/ragwortwing-lab/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator: its schedule, its check of answers, its report."""
+"""Tests the load generator: schedule, answer verification and report."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
         (WHOLE + outcome("completed"), AnswerFault.UNFINISHED),
     ],
 )
-def test_a_stream_is_checked_whole(body: bytes, fault: AnswerFault) -> None:
+def test_faults_of_a_stream_are_detected(body: bytes, fault: AnswerFault) -> None:
     assert read_stream(body, PROMPT, 3).fault == fault
 
 
-def test_rates_and_order_of_a_schedule() -> None:
+def test_a_schedule_is_ordered_and_matches_its_rates() -> None:
     arrivals = schedule(DEMO_TRAFFIC, 200.0, seed=3)
     assert [each.index for each in arrivals] == list(range(len(arrivals)))
     assert [each.at for each in arrivals] == sorted(each.at for each in arrivals)
@@ -57,13 +57,13 @@
     assert abs(len(arrivals) - expected) < 4 * expected**0.5
 
 
-def test_a_report_counts_late_wrong_and_wasted_work() -> None:
+def test_a_report_excludes_late_wrong_and_wasted_answers() -> None:
     arrival = Arrival(0, 0.0, DEMO_TRAFFIC[0], "key", 10)
-    good = CallResult(arrival, "completed", tokens=10, first_token=0.1, between_tokens=0.02)
-    late = replace(good, first_token=2.0)
-    wrong = replace(good, fault=AnswerFault.TEXT)
-    cut = CallResult(arrival, "failed", "backend_lost", tokens=5, wasted_tokens=5)
-    report = make_report([good, late, wrong, cut], 10.0)
+    on_time = CallResult(arrival, "completed", tokens=10, first_token=0.1, between_tokens=0.02)
+    late = replace(on_time, first_token=2.0)
+    wrong = replace(on_time, fault=AnswerFault.TEXT)
+    broken = CallResult(arrival, "failed", "backend_lost", tokens=5, wasted_tokens=5)
+    report = make_report([on_time, late, wrong, broken], 10.0)
     chat = report.classes_by_name["chat"]
     assert (chat.calls, chat.completed, chat.attained) == (4, 2, 1)
     assert report.goodput_tokens == 2.0
