--- a/packages/ragwortwing-agent/src/ragwortwing_agent/agent_app.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/agent_app.py
@@ -150,7 +150,7 @@
         self._announce(MemberState.LEAVING)
         self.gate.drain()
         for peer in self._peers:
-            peer.connection.beat()
+            peer.connection.send_heartbeat()
         await self.gate.wait_finished()
         for peer in list(self._peers):
             await peer.wait_idle()
@@ -286,7 +286,7 @@
             return
         self._last_load = load
         for peer in self._peers:
-            peer.connection.beat()
+            peer.connection.send_heartbeat()
 
 
 class EntrySession(MessageHandlers):
@@ -303,7 +303,7 @@
         """Send the current load, and request configuration records that only the entry has."""
         peer_hello = self._peer.connection.peer
         assert peer_hello is not None
-        self._peer.connection.beat()
+        self._peer.connection.send_heartbeat()
         self._catch_up(peer_hello.revision)
 
     def receive(self, message: object) -> None:
@@ -337,7 +337,7 @@
     @on(ConfigurationRecords)
     def on_configuration_records(self, message: ConfigurationRecords) -> None:
         """Apply records that this agent requested."""
-        self._app._configuration_feed.take_peer_records(message.records)
+        self._app._configuration_feed.apply_peer_records(message.records)
 
     def _catch_up(self, revision: int) -> None:
         configuration_feed = self._app._configuration_feed
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/backend_client.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/backend_client.py
@@ -16,7 +16,7 @@
 
 from ragwortwing_wire.messages import Header
 
-from .direct_network import UntimedNetworkBackend
+from .untimed_network import UntimedNetworkBackend
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
--- a/packages/ragwortwing-agent/src/ragwortwing_agent/engine_admin.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/engine_admin.py
@@ -14,7 +14,7 @@
 import trio
 
 from ragwortwing_policy.engine_orders import EngineOrders, desired_engine
-from ragwortwing_runtime.fencing import AGENT_STARTS_STREAM, AgentStart, take_fencing_number
+from ragwortwing_runtime.fencing import AGENT_STARTS_STREAM, AgentStart, acquire_fencing_number
 from ragwortwing_runtime.record_log import LogPage, OffsetExpired
 from ragwortwing_wire.messages import Header
 
@@ -92,7 +92,7 @@
             zone: Its availability zone.
             on_superseded: Called when this agent has been replaced.
         """
-        number = await take_fencing_number(self._log, self._clock, self._random, agent_id, zone)
+        number = await acquire_fencing_number(self._log, self._clock, self._random, agent_id, zone)
         self.fencing_number = number
         self._next_start_offset = number + 1
         log.info("Fencing number acquired", fencing_number=number)
--- a/packages/ragwortwing-agent/tests/test_engine_admin.py
+++ b/packages/ragwortwing-agent/tests/test_engine_admin.py
@@ -9,7 +9,7 @@
 
 import pytest
 import trio
-from agent_harness import CONFIGURATION, LIMIT, MODEL, FixedSource, agent_settings
+from agent_harness import CONFIGURATION, LIMIT, MODEL, StaticConfigurationFeed, agent_settings
 
 from ragwortwing_agent.backend_client import BackendClient
 from ragwortwing_agent.engine_admin import EngineAdmin
@@ -21,7 +21,7 @@
 from ragwortwing_policy.configuration import Model
 from ragwortwing_runtime.system_clock import SystemClock
 
-CONFIGURATION_FEED = FixedSource(
+CONFIGURATION_FEED = StaticConfigurationFeed(
     replace(CONFIGURATION, models_by_name={MODEL: Model(MODEL, version="7")})
 )
 
--- a/packages/ragwortwing-agent/tests/test_process.py
+++ b/packages/ragwortwing-agent/tests/test_process.py
@@ -38,7 +38,7 @@
     finally:
         if process.handle.poll() is None:
             process.kill()
-            await process.wait_dead()
+            await process.wait_exited()
 
 
 async def call(method: str, url: str, value: object = None) -> dict:
@@ -91,7 +91,7 @@
             assert await list_members() == []
     finally:
         store.kill()
-        await store.wait_dead()
+        await store.wait_exited()
 
 
 @pytest.mark.parametrize(
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/accounts.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/accounts.py
@@ -14,11 +14,11 @@
 BEARER_PREFIX = b"bearer "
 
 
-def digest_of_key(key: bytes) -> str:
+def hash_api_key(key: bytes) -> str:
     """Return the SHA-256 hex digest under which the configuration stores an API key.
 
     Example:
-        >>> digest_of_key(b"key")[:8]
+        >>> hash_api_key(b"key")[:8]
         '2c70e12b'
     """
     return hashlib.sha256(key).hexdigest()
@@ -36,7 +36,7 @@
     """
     if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
         return CallerFault(CallerFaultCode.UNAUTHENTICATED, "send Authorization: Bearer KEY")
-    digest = digest_of_key(authorization[len(BEARER_PREFIX) :].strip())
+    digest = hash_api_key(authorization[len(BEARER_PREFIX) :].strip())
     matched_account: ClientAccount | None = None
     # Guards against timing attacks: the duration of a comparison that stops early reveals how much
     # of a guess is right. The loop compares every digest of every account, each in constant time.
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/agent_pool.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/agent_pool.py
@@ -26,7 +26,7 @@
 
     from ragwortwing_policy.clock import Clock
     from ragwortwing_policy.configuration import Configuration
-    from ragwortwing_policy.configuration_log import FoldState
+    from ragwortwing_policy.configuration_log import ConfigurationLogState
     from ragwortwing_policy.routing import AgentView, Router
     from ragwortwing_runtime.members import Members, MemberSource
     from ragwortwing_runtime.settings import ConnectionSettings
@@ -43,7 +43,7 @@
         ...
 
     @property
-    def state(self) -> FoldState:
+    def state(self) -> ConfigurationLogState:
         """State folded from the configuration records so far."""
         ...
 
@@ -51,7 +51,7 @@
         """Return the records from an offset on, to bring a peer up to date."""
         ...
 
-    def take_peer_records(self, records: Iterable[ConfigurationRecord]) -> bool:
+    def apply_peer_records(self, records: Iterable[ConfigurationRecord]) -> bool:
         """Apply records that a peer sent."""
         ...
 
@@ -146,7 +146,7 @@
 
     def agent_reported_leaving(self, agent_id: str) -> None:
         """Record that an agent itself reports that it is leaving."""
-        self._apply_state_changes(self._membership.said_leaving(agent_id))
+        self._apply_state_changes(self._membership.leaving_announced(agent_id))
 
     def takes_new_work(self, agent_id: str) -> bool:
         """Return whether an agent accepts new requests."""
@@ -169,7 +169,7 @@
 
     def apply_records(self, message: ConfigurationRecords) -> None:
         """Apply configuration records that an agent sent."""
-        self._source.take_peer_records(message.records)
+        self._source.apply_peer_records(message.records)
 
     def request_if_behind(self, peer_revision: int) -> ConfigurationRequest | None:
         """Return a request for missing records, or None if the agent has no newer revision."""
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/config.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/config.py
@@ -20,7 +20,7 @@
     NO_REVISION,
     UNCONDITIONAL,
     Checkpoint,
-    Judged,
+    EvaluatedRecord,
     Publication,
 )
 
@@ -140,8 +140,10 @@
     output = Output(as_json)
 
     async def work(publisher: ConfigurationPublisher) -> None:
-        lines = [_history_line(judged) for judged in publisher.history]
-        output.show("\n".join(lines), [_history_value(judged) for judged in publisher.history])
+        lines = [_history_line(evaluated) for evaluated in publisher.history]
+        output.show(
+            "\n".join(lines), [_history_value(evaluated) for evaluated in publisher.history]
+        )
 
     run_with_publisher(log_address, output, work)
 
@@ -203,10 +205,10 @@
     return read_file(Path(side), output)
 
 
-def _history_value(judged: Judged) -> dict[str, Any]:
-    verdict = type(judged.verdict).__name__.lower()
-    value: dict[str, Any] = {"offset": judged.offset, "verdict": verdict}
-    entry = judged.entry
+def _history_value(evaluated: EvaluatedRecord) -> dict[str, Any]:
+    verdict = type(evaluated.verdict).__name__.lower()
+    value: dict[str, Any] = {"offset": evaluated.offset, "verdict": verdict}
+    entry = evaluated.entry
     if entry is None:
         return value | {"kind": "unreadable"}
     value |= {"kind": _entry_kind(entry), "record_id": entry.record_id, "preset": entry.preset}
@@ -226,8 +228,8 @@
     return "publication" if isinstance(entry, Publication) else "preset_switch"
 
 
-def _history_line(judged: Judged) -> str:
-    value = _history_value(judged)
+def _history_line(evaluated: EvaluatedRecord) -> str:
+    value = _history_value(evaluated)
     parts = [f"{value['offset']:>6}", f"{value['verdict']:<9}", f"{value['kind']:<13}"]
     for key in ("preset", "base", "published_at", "operator", "note"):
         if key in value:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/commands/inspect.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/commands/inspect.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ragwortwing_entry.direct.log_losses import losses
-from ragwortwing_entry.direct.log_story import UnknownRequestError, tell_story
+from ragwortwing_entry.direct.request_explanation import UnknownRequestError, explain_request
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -57,7 +57,7 @@
 def explain(request_id: str, log_files: tuple[BinaryIO, ...]) -> None:
     """Show the timeline of a request from the logs of its processes; `-` reads standard input."""
     try:
-        story = tell_story(request_id, (line for file in log_files for line in file))
+        story = explain_request(request_id, (line for file in log_files for line in file))
     except UnknownRequestError as error:
         click.echo(str(error), err=True)
         sys.exit(NOT_FOUND_EXIT_CODE)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/direct_entry.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/direct_entry.py
@@ -62,7 +62,7 @@
         self._accepts_until: Instant | None = None
         state.peers.on_message(self._handle_message, lambda: self.can_schedule)
 
-    def stop_taking(self, after: float) -> None:
+    def stop_accepting(self, after: float) -> None:
         """Refuse requests after some seconds from now: a later one could not be finished."""
         self._accepts_until = self.state.clock.monotonic() + after
         self.state.peers.wake()
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/engine_admission.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/engine_admission.py
@@ -128,7 +128,7 @@
     async def _request_decision(
         self, scheduler: str, request: WaitingRequest
     ) -> DecisionMessage | _NoAnswer:
-        self._reporting.inform(self._pool, scheduler)
+        self._reporting.send_runs_if_needed(self._pool, scheduler)
         pending = self._pending_by_ticket[request.ticket] = _Pending(request)
         try:
             return await self._send_until_answered(scheduler, pending)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/entry_counters.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/entry_counters.py
@@ -127,7 +127,7 @@
             "Time since the store last answered a read of a feed.",
             labels=("feed",),
         )
-        for feed, heard_at in self._entry.state.watch.heard_at_by_feed.items():
+        for feed, heard_at in self._entry.state.watch.last_heard_by_feed.items():
             family.add_metric((feed,), now - heard_at)
         return family
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/entry_state.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/entry_state.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from ragwortwing_policy.direct.backend_list import BackendList
-from ragwortwing_policy.direct.backend_trust import BackendTrust
+from ragwortwing_policy.direct.failure_tracker import FailureTracker
 from ragwortwing_policy.direct.feed_watch import FeedWatch
-from ragwortwing_policy.direct.peer_status import StatusBook
+from ragwortwing_policy.direct.peer_status import StatusExchange
 from ragwortwing_policy.direct.placement import Placement
 from ragwortwing_policy.direct.rate_limits import LimitNotice, RateLimits
 from ragwortwing_policy.direct.repeat_budget import RepeatAllowance, RepeatBudget
@@ -49,16 +49,16 @@
         self.table: RoutingTable | None = None
         self.backends = BackendList()
         self.placement = Placement()
-        self.trust = BackendTrust()
+        self.failure_tracker = FailureTracker()
         self.limits = RateLimits()
         self.started = round(1000 * clock.utc_now().timestamp())
         """Start time in Unix ms; distinguishes this process from earlier ones of the entry."""
         self.watch = FeedWatch(identity.name)
         self.choice = SchedulerChoice(identity.name)
-        self.ledger = RunLedger(self.placement, self.trust, self._engine)
+        self.ledger = RunLedger(self.placement, self.failure_tracker, self._engine)
         self.candidates = DutyCandidates(identity.name)
         self.fleet_time = FleetTime(clock)
-        statuses = StatusBook(
+        statuses = StatusExchange(
             identity.name,
             identity.capacity,
             self.watch,
@@ -92,7 +92,7 @@
         """Update a backend server in the list; after a restart its load and history are reset."""
         if restarted:
             self.placement.forget(backend.id)
-            self.trust.forget(backend.id)
+            self.failure_tracker.forget(backend.id)
             self.limits.forget(backend.id)
         self.backends.put(backend)
         decided(
@@ -125,7 +125,7 @@
         """Remove a backend server and all state kept for it."""
         self.backends.remove(backend_id)
         self.placement.forget(backend_id)
-        self.trust.forget(backend_id)
+        self.failure_tracker.forget(backend_id)
         self.limits.forget(backend_id)
         decided("backend_gone", backend=backend_id)
 
@@ -144,7 +144,7 @@
             if backend_id not in self.backends.by_id:
                 continue
             before = self.limits.rate(backend_id)
-            self.limits.hear(backend_id, LimitNotice(rate, age), now)
+            self.limits.update_from_peer(backend_id, LimitNotice(rate, age), now)
             self._log_limit(backend_id, before, observed_by=status.sender)
 
     def _log_limit(self, backend_id: str, before: float | None, observed_by: str) -> None:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/feed_pace.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/feed_read_timing.py
@@ -40,7 +40,7 @@
         """Return for how many seconds a read waits for new records."""
         return 0.0 if self._watch.follows(self._clock.monotonic()) else SHORT_WAIT
 
-    async def until_store_is_needed(self) -> None:
+    async def wait_until_store_needed(self) -> None:
         """Wait until no watcher is heard, or until this entry is behind a watcher."""
         while True:
             await trio.sleep(CHECK_INTERVAL)
@@ -48,7 +48,7 @@
             if self._watch.is_behind(self._feed, now):
                 return
             if not self._watch.follows(now):
-                await trio.sleep(self._watch.take_over_delay(now))
+                await trio.sleep(self._watch.takeover_delay(now))
                 if not self._watch.follows(self._clock.monotonic()):
                     return
 
@@ -58,7 +58,7 @@
         wait = backoff.next_wait().total_seconds()
         while True:
             now = self._clock.monotonic()
-            ends = began + min(wait, self._watch.retry_limit(now))
+            ends = began + min(wait, self._watch.maximum_retry_delay(now))
             if now >= ends or self._watch.regained_since(began):
                 return
             await trio.sleep(min(CHECK_INTERVAL, ends - now))
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/feed_relay.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/feed_relay.py
@@ -149,7 +149,9 @@
         if receiver is None:
             return
         now = self._clock.monotonic()
-        self._watch.told(message.sender, {}, now, hears_store=True, unsure_for=message.unsure_for)
+        self._watch.peer_reported(
+            message.sender, {}, now, hears_store=True, unsure_for=message.unsure_for
+        )
         records = tuple(FeedRecord(*each) for each in message.records)
         found = FeedRecords(message.first, message.end, records)
         self._add_to_history(message.feed, found)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/log_losses.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/log_losses.py
@@ -62,7 +62,7 @@
     """All losses found in a set of logs."""
 
     rows: tuple[LossRow, ...]
-    asked_by_route: dict[str, int]
+    request_count_by_route: dict[str, int]
     skipped: int
     """Number of lines that could not be parsed."""
 
@@ -84,7 +84,7 @@
         for (route, since), counts in sorted(cells.items()):
             figures = "".join(f"{counts[each]:>13}" for each in reasons)
             lines.append(f"{route:16}{since:>8g}{figures}")
-        for route, asked in sorted(self.asked_by_route.items()):
+        for route, asked in sorted(self.request_count_by_route.items()):
             lost = sum(row.requests for row in self.rows if row.route == route)
             lines.append(f"{route:16}{'all':>8}  {lost} of {asked} requests")
         return "\n".join(lines)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/peer_link.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/peer_link.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable, Mapping
 
     from ragwortwing_policy.clock import Clock, Instant
-    from ragwortwing_policy.direct.peer_status import StatusBook
+    from ragwortwing_policy.direct.peer_status import StatusExchange
 
     Handler = Callable[[PeerMessage, "Address"], None]
     StatusHandler = Callable[[StatusMessage], None]
@@ -50,7 +50,7 @@
 class PeerLink:
     """Sends and receives datagrams, and broadcasts this entry's status when it is due."""
 
-    def __init__(self, book: StatusBook, clock: Clock) -> None:
+    def __init__(self, book: StatusExchange, clock: Clock) -> None:
         self._book = book
         self._clock = clock
         self._member_addresses_by_name: dict[str, Address] = {}
@@ -130,7 +130,7 @@
                 await self._status_due.wait()
             self._status_due = trio.Event()
             now = self._clock.monotonic()
-            self._book.schedules(now, can_schedule=self._can_schedule())
+            self._book.update_can_schedule(now, can_schedule=self._can_schedule())
             status = self._book.due(now)
             if status is None:
                 continue
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/peer_messages.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/peer_messages.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ragwortwing_policy.direct.admission_queue import Granted, Rejected, WaitingRequest
-from ragwortwing_policy.direct.engine_load import PromptReading
+from ragwortwing_policy.direct.engine_load import PrefillPlan
 from ragwortwing_policy.direct.peer_status import PeerStatus
 from ragwortwing_policy.direct.prompt_parts import Prompt, PromptPart
 from ragwortwing_policy.direct.queue_order import Waiter
@@ -372,7 +372,7 @@
     return Granted(
         request=request,
         backend=backend,
-        reading=PromptReading(message.unread_tokens, fetch_from, seconds),
+        reading=PrefillPlan(message.unread_tokens, fetch_from, seconds),
         backlog=message.backlog,
         running=message.running,
         first_event_after=message.first_event_after,
@@ -406,7 +406,7 @@
 
 
 def _run_of(body: RunBody) -> ReportedRun:
-    reading = PromptReading(body.unread_tokens, None, body.fetch_seconds)
+    reading = PrefillPlan(body.unread_tokens, None, body.fetch_seconds)
     prompt = _prompt_of(body.prompt)
     return ReportedRun(
         body.ticket,
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/plain_admission.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/plain_admission.py
@@ -106,8 +106,10 @@
 
     def _candidates(self, service: str, tried: AbstractSet[str]) -> list[BackendServer]:
         now = self._state.clock.monotonic()
-        trusted = self._state.trust.trusted(self._state.backends.ready(service), now)
-        return [each for each in trusted if each.id not in tried] or list(trusted)
+        without_excluded = self._state.failure_tracker.without_excluded(
+            self._state.backends.ready(service), now
+        )
+        return [each for each in without_excluded if each.id not in tried] or list(without_excluded)
 
     def _is_ready(self, backend: BackendServer) -> bool:
         return backend in self._state.backends.ready(backend.service)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/ports.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/ports.py
@@ -166,7 +166,7 @@
         """Send the end of the body."""
         ...
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End an answer so that the caller can tell that it is incomplete."""
         ...
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/presence.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/presence.py
@@ -34,7 +34,7 @@
 renewals of a change. If a member has none for longer, there are more members than partitions, and
 the others cannot see this member."""
 
-FIRST_READS = 3
+UNTHROTTLED_READS = 3
 """Number of first reads of the members without a minimum interval: most members of a fleet that
 starts at once join during these seconds."""
 
@@ -86,7 +86,7 @@
         self._renewal_due = trio.Event()
         self._call_lock = trio.Lock()
 
-    def become(self, member: str) -> None:
+    def set_member_name(self, member: str) -> None:
         """Change the name under which the others see this process."""
         if member != self._member:
             self._former_member = self._former_member or self._member
@@ -142,7 +142,7 @@
         self._on_members(members | ({self._member} if self._member is not None else set()))
 
     def _has_read_recently(self) -> bool:
-        if self._reads < FIRST_READS or not self._members_known:
+        if self._reads < UNTHROTTLED_READS or not self._members_known:
             return False
         return trio.current_time() - self._last_read_at < self._read_interval
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/queue_dispatcher.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/queue_dispatcher.py
@@ -88,14 +88,14 @@
     def _dispatch(self, only: str | None = None) -> None:
         now = self._state.clock.monotonic()
         ready = self._state.backends.ready(self._service)
-        trusted = self._state.trust.trusted(ready, now)
+        without_excluded = self._state.failure_tracker.without_excluded(ready, now)
         traits = self._state.engine_traits(self._service)
 
         def engines_for(request: WaitingRequest) -> Sequence[BackendServer]:
             if not request.avoid:
-                return trusted
-            untried = [each for each in trusted if each.id not in request.avoid]
-            return untried or trusted
+                return without_excluded
+            untried = [each for each in without_excluded if each.id not in request.avoid]
+            return untried or without_excluded
 
         share = self._state.rate_share(self._service)
         for decision in self._queue.dispatch(traits, engines_for, now, only, share):
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/log_story.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/request_explanation.py
@@ -63,7 +63,7 @@
     """Number of lines that could not be parsed."""
 
 
-def tell_story(request_id: str, log_lines: Iterable[bytes]) -> RequestExplanation:
+def explain_request(request_id: str, log_lines: Iterable[bytes]) -> RequestExplanation:
     """Return the history of a request and the cause of its end.
 
     Args:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/request_task.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/request_task.py
@@ -237,7 +237,7 @@
                 send.advance("lose")
             return self._note_failure(backend, send, error.cause)
         finally:
-            if not self._route.streaming and not send.has_run_for_certain_not:
+            if not self._route.streaming and not send.certainly_not_run:
                 self._entry.run_began(self._account_name, sent_at)
 
     @contextmanager
@@ -290,9 +290,9 @@
         send.advance("end_answer")
         if backend_answer.kind is AnswerKind.FAILURE:
             self._send_failed = True
-            self._state.trust.failed(backend.id, self._now())
+            self._state.failure_tracker.failed(backend.id, self._now())
         else:
-            self._state.trust.succeeded(backend.id)
+            self._state.failure_tracker.succeeded(backend.id)
         self._count_send(backend_answer.kind)
         self._log_end("answered", backend=backend.id, kind=backend_answer.kind)
         return None
@@ -361,14 +361,14 @@
         self._history = self._history.after(send)
         if kind is AnswerKind.ANOTHER_SERVER:
             self._send_failed = True
-            self._state.trust.failed(backend.id, self._now())
+            self._state.failure_tracker.failed(backend.id, self._now())
         decided("send_declined", self._request.id, backend=backend.id, kind=kind)
         return kind
 
     def _note_failure(self, backend: BackendServer, send: Send, cause: str) -> str:
         self._history = self._history.after(send)
         self._count_send("ambiguous" if self._history.may_have_run else "not_sent")
-        if self._state.trust.failed(backend.id, self._now()):
+        if self._state.failure_tracker.failed(backend.id, self._now()):
             decided("backend_rests", backend=backend.id, cause=cause)
         warned("send_failed", self._request.id, backend=backend.id, state=send.state, cause=cause)
         return cause
@@ -397,7 +397,7 @@
 
     async def _time_out(self) -> None:
         send = self._send
-        may_be_running = send is not None and not send.has_run_for_certain_not
+        may_be_running = send is not None and not send.certainly_not_run
         if self._history.may_have_run or may_be_running:
             await self._conclude(Unresolved(UnknownReason.TIMEOUT))
         else:
@@ -407,7 +407,7 @@
         self, conclusion: Refused | Unresolved | Denial, failure: str | None = None
     ) -> None:
         if self._answer_begun:
-            self._answer.break_off()
+            self._answer.abort()
             self._log_end("broken_off", conclusion=str(conclusion), failure=failure)
             return
         self._entry.counters.refusals.labels(_cause_label(conclusion)).inc()
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/run_reporting.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/run_reporting.py
@@ -59,7 +59,7 @@
         self.reporter(pool).end(ticket, failed=failed)
         self._changed.set()
 
-    def inform(self, pool: str, peer: str) -> None:
+    def send_runs_if_needed(self, pool: str, peer: str) -> None:
         """Send the current runs to a peer that will schedule a request, unless it has them."""
         informed = self._informed_by_pool.get(pool, frozenset())
         if peer not in informed:
@@ -83,12 +83,12 @@
         for newcomer in informed - self._informed_by_pool.get(pool, frozenset()):
             self._send_full_report(pool, newcomer)
         self._informed_by_pool[pool] = informed
-        if not reporter.has_news and not reporter.is_due(now):
+        if not reporter.has_changes and not reporter.is_due(now):
             return
         message = report_message(reporter.report(now))
         for peer in informed:
             self._state.peers.send(message, peer)
 
     def _send_full_report(self, pool: str, peer: str) -> None:
-        report = self.reporter(pool).whole_report(self._state.clock.monotonic())
+        report = self.reporter(pool).full_report(self._state.clock.monotonic())
         self._state.peers.send(report_message(report), peer)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/direct/topic_follower.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/direct/topic_follower.py
@@ -7,11 +7,11 @@
 
 import trio
 
-from ragwortwing_policy.direct.feed_watch import AFTER_OUTAGE, IDLE_RETRY
+from ragwortwing_policy.direct.feed_watch import IDLE_RETRY, POST_OUTAGE_SECONDS
 from ragwortwing_runtime.backoff import Backoff
 
 from .decision_log import decided, warned
-from .feed_pace import FeedReadTiming
+from .feed_read_timing import FeedReadTiming
 from .snapshot_reader import SnapshotReader
 from .store_port import HistoryLostError, StoreError
 from .transfer import Transfer
@@ -76,10 +76,10 @@
         self.heard_at = 0.0
         """Monotonic time of the store's last answer."""
 
-    def seconds_unsure(self) -> float:
+    def outage_uncertainty_seconds(self) -> float:
         """Return for how many seconds an outage may still explain a removal; 0 without one."""
         if self._lost_at is not None:
-            return AFTER_OUTAGE
+            return POST_OUTAGE_SECONDS
         return self._watch.unsure_for(self._clock.monotonic())
 
     async def run(self) -> None:
@@ -104,7 +104,7 @@
             await trio.sleep(max(0.0, now + BURST_INTERVAL - self._clock.monotonic()))
             return
         if self._lost_at is None and self._watch.follows(now):
-            await self._timing.until_store_is_needed()
+            await self._timing.wait_until_store_needed()
         transfer = await self._read(self._offset)
         if transfer.records or not self._watch.is_watcher(self._clock.monotonic()):
             await trio.sleep(max(0.0, BURST_INTERVAL - transfer.duration()))
@@ -201,7 +201,7 @@
         self._backoff.reset()
         if self._lost_at is None:
             return
-        for_all = self._watch.was_for_all(self._lost_at, self.heard_at)
+        for_all = self._watch.may_be_fleet_wide(self._lost_at, self.heard_at)
         decided(
             "store_regained",
             topic=self._topic,
@@ -210,7 +210,7 @@
         )
         self._lost_at = None
         if for_all:
-            self._watch.outage_over(self.heard_at + AFTER_OUTAGE)
+            self._watch.record_outage_end(self.heard_at + POST_OUTAGE_SECONDS)
         self._peers.wake()
 
     def _on_failure(self, error: StoreError) -> None:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/duties/duty.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/duties/duty.py
@@ -37,7 +37,7 @@
         """Return whether a decision in the log has not been carried out yet."""
         ...
 
-    async def act(self, state: bytes, permit: Permit) -> bool:
+    async def execute(self, state: bytes, permit: Permit) -> bool:
         """Carry out the next decision in the log; return whether it succeeded."""
         ...
 
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/duties/duty_runner.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/duties/duty_runner.py
@@ -128,7 +128,7 @@
             decided("duty_log_not_read", duty=self._duty.name, cause=error.cause)
             return False
         self.lease.read(found, self._now())
-        self._state.candidates.knows_record(self._duty.name, self.lease.offset)
+        self._state.candidates.update_record_offset(self._duty.name, self.lease.offset)
         decided(
             "duty_log_read",
             duty=self._duty.name,
@@ -167,7 +167,7 @@
     def _apply_outcome(self, proposal: Proposal, outcome: AppendOutcome) -> None:
         if outcome is AppendOutcome.ACCEPTED:
             self.lease.accepted(proposal)
-            self._state.candidates.knows_record(self._duty.name, self.lease.offset)
+            self._state.candidates.update_record_offset(self._duty.name, self.lease.offset)
         elif outcome is AppendOutcome.REJECTED:
             self.lease.rejected()
         else:
@@ -176,7 +176,7 @@
     async def _act(self, state: bytes) -> bool:
         name, token = self._state.identity.name, self.lease.fencing_token
         permit = Permit(name, token, lambda: self.lease.remaining(self._now()))
-        if await self._duty.act(state, permit):
+        if await self._duty.execute(state, permit):
             self._consecutive_failures = 0
             return True
         self._consecutive_failures += 1
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/duties/fleet_duties.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/duties/fleet_duties.py
@@ -19,7 +19,7 @@
     from ragwortwing_entry.direct.entry_state import EntryState
     from ragwortwing_entry.direct.peer_messages import StatusMessage, UsageMessage
     from ragwortwing_policy.clock import Instant
-    from ragwortwing_policy.duties.usage_windows import UsageTerms
+    from ragwortwing_policy.duties.usage_windows import UsageReportPolicy
 
     from .ports import DutyLog, UsageCalls
 
@@ -36,7 +36,7 @@
         state: EntryState,
         log: DutyLog,
         calls: UsageCalls,
-        terms: UsageTerms,
+        terms: UsageReportPolicy,
         exclusive: timedelta,
     ) -> None:
         """Create the duties.
@@ -73,7 +73,7 @@
         for duty, offset in status.offset_by_duty.items():
             runner = self.runners_by_duty.get(duty)
             if runner is not None:
-                runner.lease.heard_of(offset, self._state.clock.boot_time())
+                runner.lease.record_peer_offset(offset, self._state.clock.boot_time())
 
     async def run(self) -> None:
         """Run the duties and report counts until cancelled."""
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/duties/usage_collection.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/duties/usage_collection.py
@@ -13,7 +13,7 @@
     from ragwortwing_entry.direct.entry_state import EntryState
     from ragwortwing_entry.direct.peer_messages import UsageMessage
     from ragwortwing_policy.clock import Instant
-    from ragwortwing_policy.duties.usage_windows import UsageTerms
+    from ragwortwing_policy.duties.usage_windows import UsageReportPolicy
 
 DUTY = "usage"
 """Name of the duty that reports the counts."""
@@ -39,7 +39,7 @@
 class UsageCollection:
     """The counts of all entries that this entry knows."""
 
-    def __init__(self, state: EntryState, terms: UsageTerms) -> None:
+    def __init__(self, state: EntryState, terms: UsageReportPolicy) -> None:
         self._state = state
         self._window = terms.window.total_seconds()
         self.ledger = UsageLedger()
@@ -76,11 +76,11 @@
         now = state.clock.monotonic()
         own_name = state.identity.name
         receivers = frozenset(state.candidates.ranked(DUTY, now)[:RECEIVER_COUNT])
-        has_news = self._counter.has_news(unix_time)
+        has_changes = self._counter.has_changes(unix_time)
         newcomers = receivers - self._receivers
         if newcomers or whole:
             report = self._counter.report(unix_time)
-        elif has_news:
+        elif has_changes:
             report = self._counter.report(unix_time, whole=False)
         else:
             return
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/duties/usage_duty.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/duties/usage_duty.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from ragwortwing_entry.direct.entry_state import EntryState
-    from ragwortwing_policy.duties.usage_windows import UsageTerms
+    from ragwortwing_policy.duties.usage_windows import UsageReportPolicy
 
     from .permit import Permit
     from .ports import UsageCalls
@@ -38,7 +38,7 @@
         self,
         state: EntryState,
         collection: UsageCollection,
-        terms: UsageTerms,
+        terms: UsageReportPolicy,
         calls: UsageCalls,
     ) -> None:
         self._entry_state = state
@@ -71,7 +71,7 @@
         undelivered = self._undelivered(state)
         return undelivered is not None and bool(undelivered.unsent)
 
-    async def act(self, state: bytes, permit: Permit) -> bool:
+    async def execute(self, state: bytes, permit: Permit) -> bool:
         """Deliver the counts of one window."""
         undelivered = self._undelivered(state)
         if undelivered is None:
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/entry_app.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/entry_app.py
@@ -18,14 +18,14 @@
 from ragwortwing_runtime.telemetry import Telemetry
 
 from . import model_routes, operator_routes
-from .account_gate import AccountAdmission
+from .account_admission import AccountAdmission
 from .agent_pool import AgentPool
 from .answers import fault_answer, outcome_answer
 from .caller_faults import CallerFault, CallerFaultCode
 from .entry_metrics import EntryMetrics
 from .http_call import HttpCall
 from .http_server import HttpServer
-from .intake import RequestContext, new_request_context, new_request_id
+from .request_context import RequestContext, new_request_context, new_request_id
 from .request_journal import RequestJournal
 from .request_run import RequestRun
 from .request_server import RETRY_DELAY, RequestServer
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/model_routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/model_routes.py
@@ -11,7 +11,7 @@
 from .caller_faults import CallerFault, CallerFaultCode
 from .caller_request import CallerRequest
 from .chat_request import ChatRequest, read_chat_request
-from .intake import (
+from .request_context import (
     AUTHORIZATION,
     REQUEST_CLASS,
     RequestContext,
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/request_run.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/request_run.py
@@ -10,12 +10,12 @@
 import trio
 
 from ragwortwing_policy.dispatch import (
-    Ask,
+    CancelAtAgent,
     Conclude,
     Dispatch,
     DispatchDecision,
+    RequestReservation,
     SendBody,
-    WithdrawFrom,
 )
 from ragwortwing_policy.outcomes import Completed, NotRun, NotRunReason, Outcome
 from ragwortwing_policy.routing import BackendKind
@@ -315,11 +315,11 @@
                 await self._execute_decision(self._decisions.popleft())
 
     async def _execute_decision(self, decision: DispatchDecision) -> None:
-        if isinstance(decision, Ask):
+        if isinstance(decision, RequestReservation):
             await self._request_reservation(decision.agent_id)
         elif isinstance(decision, SendBody):
             await self._send_body(decision)
-        elif isinstance(decision, WithdrawFrom):
+        elif isinstance(decision, CancelAtAgent):
             await self._withdraw_from(decision.agent_id)
         elif isinstance(decision, Conclude):
             self._conclude(decision.outcome)
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/request_server.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/request_server.py
@@ -16,7 +16,7 @@
 
 from .answers import outcome_answer
 from .delivery import deliver
-from .intake import TRACEPARENT
+from .request_context import TRACEPARENT
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -29,7 +29,7 @@
     from ragwortwing_runtime.settings import EntrySettings
     from ragwortwing_runtime.telemetry import Telemetry
 
-    from .account_gate import AccountAdmission
+    from .account_admission import AccountAdmission
     from .caller_request import CallerRequest
     from .entry_metrics import EntryMetrics
     from .http_call import HttpCall
--- a/packages/ragwortwing-entry/src/ragwortwing_entry/service_routes.py
+++ b/packages/ragwortwing-entry/src/ragwortwing_entry/service_routes.py
@@ -11,14 +11,14 @@
 from .accounts import authenticate
 from .caller_faults import CallerFault, CallerFaultCode
 from .caller_request import CallerRequest
-from .intake import AUTHORIZATION, forwarded_headers
+from .request_context import AUTHORIZATION, forwarded_headers
 
 if TYPE_CHECKING:
     from ragwortwing_policy.configuration import Configuration, Service, ServiceRoute
 
     from .entry_app import EntryApp
     from .http_call import CallerLeft, HttpCall
-    from .intake import RequestContext
+    from .request_context import RequestContext
 
 IDEMPOTENCY_KEY = b"idempotency-key"
 ORDER_TIME = b"x-order-time"
--- a/packages/ragwortwing-entry/tests/direct/test_engine_admission.py
+++ b/packages/ragwortwing-entry/tests/direct/test_engine_admission.py
@@ -115,7 +115,7 @@
         while True:
             now = trio.current_time()
             candidate = Candidate("scheduler", 9.0, 60.0, now)
-            self.entry.state.choice.hear(candidate)
+            self.entry.state.choice.update_from_peer(candidate)
             self.scheduler.state.choice.offer(candidate)
             await trio.sleep(0.5)
 
--- a/packages/ragwortwing-entry/tests/direct/test_feed_relay.py
+++ b/packages/ragwortwing-entry/tests/direct/test_feed_relay.py
@@ -111,7 +111,7 @@
     for name, other, repairs in ((first, second, True), (second, first, False)):
         fixture = RelayFixture(name)
         fixture.read(4)
-        fixture.watch.told(other, {FEED: 5}, fixture.clock.monotonic(), hears_store=True)
+        fixture.watch.peer_reported(other, {FEED: 5}, fixture.clock.monotonic(), hears_store=True)
         fixture.peers.sent.clear()
         fixture.relay.repair("entry-3", {FEED: 4})
         assert bool(fixture.peers.sent) is repairs
--- a/packages/ragwortwing-entry/tests/direct/test_log_losses.py
+++ b/packages/ragwortwing-entry/tests/direct/test_log_losses.py
@@ -53,7 +53,7 @@
 def test_request_on_time_is_not_a_loss() -> None:
     table = losses(answered("r", 0.0, longest_pause_ms=300, first_event_ms=400))
     assert table.rows == ()
-    assert table.asked_by_route == {"chats": 1}
+    assert table.request_count_by_route == {"chats": 1}
 
 
 def test_spans_start_at_first_line_and_unparsable_lines_are_counted() -> None:
--- a/packages/ragwortwing-entry/tests/direct/test_log_story.py
+++ b/packages/ragwortwing-entry/tests/direct/test_log_story.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from ragwortwing_entry.__main__ import main
-from ragwortwing_entry.direct.log_story import UnknownRequestError, tell_story
+from ragwortwing_entry.direct.request_explanation import UnknownRequestError, explain_request
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -36,7 +36,7 @@
         line("request_accepted", 10.5, request_id="r-2"),
         b"",
     ]
-    explanation = tell_story("r-1", logs)
+    explanation = explain_request("r-1", logs)
     assert len(explanation.lines) == 4
     assert explanation.skipped == 2
     assert explanation.cause == "broken_off: backend server i-1: reset"
@@ -51,7 +51,7 @@
         line("store_lost", 9.0, cause="no answer in time"),
         line("store_lost", 9.0, process="entry-2", cause="no answer in time"),
     ]
-    texts = [each.text for each in tell_story("r-1", logs).lines]
+    texts = [each.text for each in explain_request("r-1", logs).lines]
     assert texts[0].startswith("the store stopped answering")
     assert texts[-1].startswith("backend_gone")
     assert len(texts) == 6
@@ -59,7 +59,7 @@
 
 def test_unknown_request_id_is_an_error() -> None:
     with pytest.raises(UnknownRequestError, match="r-9"):
-        tell_story("r-9", BROKEN_OFF)
+        explain_request("r-9", BROKEN_OFF)
 
 
 def test_command_reads_several_files(tmp_path: Path) -> None:
--- a/packages/ragwortwing-entry/tests/direct/test_peer_link.py
+++ b/packages/ragwortwing-entry/tests/direct/test_peer_link.py
@@ -9,7 +9,7 @@
 from ragwortwing_entry.direct.peer_link import PeerLink
 from ragwortwing_entry.direct.peer_messages import WithdrawMessage, encode
 from ragwortwing_policy.direct.feed_watch import FeedWatch
-from ragwortwing_policy.direct.peer_status import StatusBook
+from ragwortwing_policy.direct.peer_status import StatusExchange
 from ragwortwing_policy.direct.scheduler_choice import SchedulerChoice
 from ragwortwing_policy.duties.candidates import DutyCandidates
 from ragwortwing_policy.duties.fleet_time import FleetTime
@@ -27,7 +27,7 @@
         self.port = free_port()
         self.choice = SchedulerChoice(name)
         clock = SystemClock()
-        book = StatusBook(
+        book = StatusExchange(
             name,
             capacity,
             FeedWatch(name),
--- a/packages/ragwortwing-entry/tests/duties/fleet_model.py
+++ b/packages/ragwortwing-entry/tests/duties/fleet_model.py
@@ -16,7 +16,7 @@
 from ragwortwing_entry.duties.usage_duty import UsageDuty
 from ragwortwing_policy.duties.lease import LogState
 from ragwortwing_policy.duties.usage_counts import UsageLedger, UsageReport
-from ragwortwing_policy.duties.usage_windows import UsageTerms
+from ragwortwing_policy.duties.usage_windows import UsageReportPolicy
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -36,7 +36,7 @@
 CALL_MARGIN = 0.2
 """Seconds before the end of a lease in which nothing is written."""
 
-TERMS = UsageTerms(timedelta(seconds=WINDOW), timedelta(seconds=DUE_AFTER))
+TERMS = UsageReportPolicy(timedelta(seconds=WINDOW), timedelta(seconds=DUE_AFTER))
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
 
 
@@ -159,7 +159,7 @@
         self.ranks_itself_first = False
         self.known_offset = -1
 
-    def knows_record(self, duty: str, offset: int) -> None:
+    def update_record_offset(self, duty: str, offset: int) -> None:
         self.known_offset = offset
 
     def ranked(self, duty: str, now: float) -> tuple[str, ...]:
@@ -220,7 +220,7 @@
     def receive_offset(self, offset: int) -> None:
         """Receive the offset that a peer's status reports."""
         assert self.runner is not None
-        self.runner.lease.heard_of(offset, self.clock.boot_time())
+        self.runner.lease.record_peer_offset(offset, self.clock.boot_time())
 
     def kill(self) -> None:
         """Kill the process."""
--- a/packages/ragwortwing-entry/tests/duties/test_duty_fleet.py
+++ b/packages/ragwortwing-entry/tests/duties/test_duty_fleet.py
@@ -154,7 +154,7 @@
 class UnfixedUsageDuty(UsageDuty):
     """A defective duty that sends the current counts instead of the fixed ones."""
 
-    async def act(self, state: bytes, permit: Permit) -> bool:
+    async def execute(self, state: bytes, permit: Permit) -> bool:
         undelivered = self._undelivered(state)
         assert undelivered is not None
         window = max(undelivered.unsent)
--- a/packages/ragwortwing-entry/tests/test_entry_app.py
+++ b/packages/ragwortwing-entry/tests/test_entry_app.py
@@ -21,7 +21,7 @@
     UnknownReason,
 )
 from ragwortwing_policy.routing import BackendKind
-from ragwortwing_runtime.app import CUT_EXIT_CODE
+from ragwortwing_runtime.app import ABORTED_REQUESTS_EXIT_CODE
 from ragwortwing_runtime.members import MemberState
 from ragwortwing_wire.messages import (
     Attach,
@@ -344,7 +344,7 @@
             assert len(bench.app.unfinished()) == 1
             bench.app.stop()
             await bench.wait_until(lambda: bench.exit_code is not None)
-    assert bench.exit_code == CUT_EXIT_CODE
+    assert bench.exit_code == ABORTED_REQUESTS_EXIT_CODE
 
 
 async def test_span_continues_trace_of_caller(bench: Bench) -> None:
--- a/packages/ragwortwing-entry/tests/test_http_server.py
+++ b/packages/ragwortwing-entry/tests/test_http_server.py
@@ -13,7 +13,7 @@
 from ragwortwing_entry.request_run import MAX_BUFFERED_ANSWER_BYTES
 from ragwortwing_policy.outcomes import Completed, Outcome, Unknown, UnknownReason
 from ragwortwing_policy.routing import BackendKind
-from ragwortwing_runtime.app import CUT_EXIT_CODE
+from ragwortwing_runtime.app import ABORTED_REQUESTS_EXIT_CODE
 from ragwortwing_wire.messages import End, ResponseHead
 
 if TYPE_CHECKING:
@@ -121,4 +121,4 @@
         bench.app.stop()
         await bench.wait_until(lambda: bench.exit_code is not None)
         await stalled.aclose()
-    assert bench.exit_code == CUT_EXIT_CODE
+    assert bench.exit_code == ABORTED_REQUESTS_EXIT_CODE
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/capacity.py
@@ -18,7 +18,7 @@
 )
 from ragwortwing_policy.configuration_document import read_document, write_document
 from ragwortwing_policy.configuration_log import (
-    FoldState,
+    ConfigurationLogState,
     PresetSwitch,
     Publication,
     RawRecord,
@@ -175,8 +175,8 @@
     )
 
 
-def _folded(accounts: int) -> FoldState:
-    return apply(FoldState(), _publication_record(accounts)).state
+def _folded(accounts: int) -> ConfigurationLogState:
+    return apply(ConfigurationLogState(), _publication_record(accounts)).state
 
 
 def _publication_record(accounts: int) -> RawRecord:
@@ -197,7 +197,7 @@
 def _publication_cpu(_: int) -> Slope:
     def cost(size: int) -> float:
         record = _publication_record(size)
-        return cpu_microseconds(lambda: apply(FoldState(), record))
+        return cpu_microseconds(lambda: apply(ConfigurationLogState(), record))
 
     return fit("all: fold of a publication, by account", "µs", (500, 1_500, 3_500), cost)
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/direct_entry.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/direct_entry.py
@@ -7,9 +7,9 @@
 from ragwortwing_lab.model.burst_replay import Placing, Replay, run_replay, scaled_replay
 from ragwortwing_policy.direct.admission_queue import AdmissionQueue, Granted, WaitingRequest
 from ragwortwing_policy.direct.backend_list import BackendServer
-from ragwortwing_policy.direct.backend_trust import BackendTrust
+from ragwortwing_policy.direct.failure_tracker import FailureTracker
 from ragwortwing_policy.direct.placement import Placement
-from ragwortwing_policy.direct.placement_question import Placed, PlacementQuestion
+from ragwortwing_policy.direct.placement_request import Placed, PlacementRequest
 from ragwortwing_policy.direct.prompt_parts import Prompt, PromptPart
 from ragwortwing_policy.direct.queue_order import Waiter
 from ragwortwing_policy.direct.routing_table import EngineTraits
@@ -43,13 +43,13 @@
         for server in self.servers:
             load = self.placement.load(server, TRAITS)
             prompt = _prompt(server.id)
-            reading = load.reading_of(prompt)
+            reading = load.plan_prefill(prompt)
             load.begin(server.id, prompt, reading, 0.0)
             run = ReportedRun(server.id, server.id, prompt, reading, 0)
             self.reporter.begin(run, 0.0)
 
     def place_and_end(self) -> None:
-        question = PlacementQuestion(SERVICE, _prompt("session"), 1e9)
+        question = PlacementRequest(SERVICE, _prompt("session"), 1e9)
         found = self.placement.place(question, self.servers, TRAITS, 0.0)
         assert isinstance(found, Placed)
         load = self.placement.load(found.backend, TRAITS)
@@ -77,14 +77,14 @@
     """Microseconds to place one long prompt and end it."""
     decision: Slope
     """Microseconds for the scheduler to queue, grant and end one request."""
-    whole_report: Slope
+    full_report: Slope
     """Microseconds to build a full report with one run on each engine."""
     taken_report: Slope
     """Microseconds to build a full report and apply it."""
 
     def render(self) -> str:
         """Return the slopes, one per line."""
-        slopes = (self.placement, self.decision, self.whole_report, self.taken_report)
+        slopes = (self.placement, self.decision, self.full_report, self.taken_report)
         return "\n".join(
             f"{each.name}: {each.slope:.2f} {each.unit} an engine, {each.intercept:.0f} besides "
             f"(r² {each.fit:.3f})"
@@ -99,12 +99,12 @@
     def build_and_apply_report(engines: int) -> float:
         sender, receiver = _Entry(engines), _Entry(engines)
         by_id = {each.id: each for each in receiver.servers}
-        ledger = RunLedger(receiver.placement, BackendTrust(), lambda key: (by_id[key], TRAITS))
-        return cpu_microseconds(lambda: ledger.take(sender.reporter.whole_report(0.0), 0.0))
+        ledger = RunLedger(receiver.placement, FailureTracker(), lambda key: (by_id[key], TRAITS))
+        return cpu_microseconds(lambda: ledger.take(sender.reporter.full_report(0.0), 0.0))
 
     def build_report(engines: int) -> float:
         reporter = _Entry(engines).reporter
-        return cpu_microseconds(lambda: reporter.whole_report(0.0))
+        return cpu_microseconds(lambda: reporter.full_report(0.0))
 
     return DirectCost(
         seed=seed,
@@ -114,7 +114,7 @@
         decision=fit(
             "decision", "µs", ENGINES, lambda n: cpu_microseconds(_Entry(n).decide_and_end)
         ),
-        whole_report=fit("report made", "µs", ENGINES, build_report),
+        full_report=fit("report made", "µs", ENGINES, build_report),
         taken_report=fit("report made and taken", "µs", ENGINES, build_and_apply_report),
     )
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/dispatch.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/dispatch.py
@@ -48,7 +48,7 @@
 class FixedFanoutRouter(Router):
     """The shipped router without reservations at further agents for a waiting request."""
 
-    def prompt_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
+    def low_wait_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
         """Return no further agents."""
         return ()
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/faults/injector.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/faults/injector.py
@@ -77,14 +77,14 @@
         """Kill a process, as a crash does, and wait until it has exited."""
         process = self.process(name)
         process.kill()
-        await process.wait_dead()
+        await process.wait_exited()
 
     async def freeze(self, name: str, seconds: float) -> None:
         """Suspend a process for some seconds."""
         process = self.process(name)
         process.freeze()
         await trio.sleep(seconds)
-        process.thaw()
+        process.unfreeze()
 
     async def apply_fault(self, name: str, duration: float, kind: str, **fields: object) -> None:
         """Set a stand-in's fault and clear it after `duration` seconds."""
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/baselines.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/baselines.py
@@ -158,7 +158,7 @@
             return NotRun(NotRunReason.NO_BACKEND, NO_BACKEND_RETRY_AFTER)
         return Choice((self._pick(eligible, now).agent_id,))
 
-    def prompt_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
+    def low_wait_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
         """Return no further agents: a pushed request stays where it is."""
         return ()
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/burst_replay.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/burst_replay.py
@@ -23,7 +23,7 @@
     WaitingRequest,
 )
 from ragwortwing_policy.direct.backend_list import BackendServer
-from ragwortwing_policy.direct.backend_trust import BackendTrust
+from ragwortwing_policy.direct.failure_tracker import FailureTracker
 from ragwortwing_policy.direct.placement import Placement
 from ragwortwing_policy.direct.prompt_parts import Prompt, PromptPart
 from ragwortwing_policy.direct.queue_order import Waiter
@@ -318,7 +318,7 @@
     placement = Placement()
     servers_by_id = {each.id: each for each in fleet.servers}
     traits = _traits(fleet.replay)
-    ledger = RunLedger(placement, BackendTrust(), lambda key: (servers_by_id[key], traits))
+    ledger = RunLedger(placement, FailureTracker(), lambda key: (servers_by_id[key], traits))
     admission_queue = AdmissionQueue(SERVICE, placement)
     return _Entry(name, placement, admission_queue, ledger, RunReporter(name, 1, SERVICE))
 
@@ -462,7 +462,7 @@
 
 def _run_report_loop(fleet: _Fleet, entry: _Entry) -> Callable[[float], None]:
     def send(now: float) -> None:
-        if entry.reporter.has_news or entry.reporter.is_due(now):
+        if entry.reporter.has_changes or entry.reporter.is_due(now):
             report = entry.reporter.report(now)
             fleet.at(now + ENTRY_MESSAGE_DELAY, _report_received(fleet, report))
         fleet.at(now + fleet.replay.report_interval, send)
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/model/entry.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/model/entry.py
@@ -7,7 +7,13 @@
 from typing import TYPE_CHECKING
 
 from ragwortwing_policy.clock import Instant
-from ragwortwing_policy.dispatch import Ask, Conclude, Dispatch, SendBody, WithdrawFrom
+from ragwortwing_policy.dispatch import (
+    CancelAtAgent,
+    Conclude,
+    Dispatch,
+    RequestReservation,
+    SendBody,
+)
 from ragwortwing_policy.outcomes import Completed, NotRun, Outcome
 from ragwortwing_policy.reservations import Reservation
 from ragwortwing_policy.retries import RetryBudget
@@ -113,7 +119,7 @@
         """Pass a grant to its request, or withdraw it if the request has ended."""
         request = self._open_by_id.get(request_id)
         if request is None:
-            self._execute_one(request_id, None, WithdrawFrom(agent_id))
+            self._execute_one(request_id, None, CancelAtAgent(agent_id))
             return
         self._execute(request_id, request.dispatch.on_granted(agent_id, self._loop.now))
 
@@ -173,12 +179,12 @@
     def _execute_one(
         self, request_id: str, request: _OpenRequest | None, decision: DispatchDecision
     ) -> None:
-        if isinstance(decision, WithdrawFrom):
+        if isinstance(decision, CancelAtAgent):
             agent = self._agents_by_id[decision.agent_id]
             self._send(agent, agent.on_withdraw, request_id)
         elif request is None:
             return
-        elif isinstance(decision, Ask):
+        elif isinstance(decision, RequestReservation):
             agent = self._agents_by_id[decision.agent_id]
             self._send(agent, agent.on_reserve, self, self._reservation(request_id, request))
         elif isinstance(decision, SendBody):
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/processes.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/processes.py
@@ -61,7 +61,7 @@
         """Send SIGSTOP: the process stops running, but its sockets stay open."""
         self.handle.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def unfreeze(self) -> None:
         """Send SIGCONT, so that a frozen process runs again."""
         self.handle.send_signal(signal.SIGCONT)
 
@@ -81,7 +81,7 @@
             return None
         return self.handle.returncode
 
-    async def wait_dead(self) -> None:
+    async def wait_exited(self) -> None:
         """Wait until a killed process has exited."""
         await self.handle.wait()
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/checks.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/checks.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Mapping, Sequence
 
-    from ..standins.platform_site import EntryProcess, Got
+    from ..standins.platform_site import CallerResponse, EntryProcess
     from ..standins.published_backend import PublishedBackend
     from .observations import Attempt, Disturbance, PublishedConfiguration, RateLimitedSpan
 
@@ -198,7 +198,9 @@
     )
 
 
-def _answer_fault(attempt: Attempt, response: Got, backend_ids: frozenset[str]) -> str | None:
+def _answer_fault(
+    attempt: Attempt, response: CallerResponse, backend_ids: frozenset[str]
+) -> str | None:
     if response.status is None or response.headers.get("x-request-id") not in (
         None,
         attempt.request_id,
@@ -218,7 +220,7 @@
     )
 
 
-def _stream_fault(request_id: str, response: Got) -> str | None:
+def _stream_fault(request_id: str, response: CallerResponse) -> str | None:
     events = response.body.split(b"\n\n")
     expected = [b"id: %d\ndata: %s-%d" % (n, request_id.encode(), n) for n in range(STREAM_EVENTS)]
     if response.whole and events != [*expected, b""]:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/soak/observations.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/soak/observations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ..standins.platform_site import EntryProcess, Got
+from ..standins.platform_site import CallerResponse, EntryProcess
 from ..standins.published_backend import PublishedBackend
 
 
@@ -49,7 +49,7 @@
     """Incarnation name of the entry process."""
     sent_at: float
     ended_at: float
-    response: Got | None
+    response: CallerResponse | None
     """None if the caller aborted the request or gave up waiting."""
 
 
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/standins/platform_site.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/standins/platform_site.py
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class CallerResponse:
     """Response as a caller received it."""
 
     status: int | None
@@ -165,7 +165,7 @@
         data = (self._h11.send(request) or b"") + (self._h11.send(h11.Data(data=body)) or b"")
         await self.stream.send_all(data + (self._h11.send(h11.EndOfMessage()) or b""))
 
-    async def receive(self) -> Got:
+    async def receive(self) -> CallerResponse:
         """Receive one response, or the part of it that arrives before the connection ends."""
         assert self.stream is not None
         started = trio.current_time()
@@ -190,7 +190,7 @@
                 break
         headers = {k.decode(): v.decode() for k, v in head.headers} if head else {}
         took = trio.current_time() - started
-        return Got(head.status_code if head else None, headers, body, whole, took)
+        return CallerResponse(head.status_code if head else None, headers, body, whole, took)
 
     def next_request(self) -> None:
         """Prepare the connection for the next request."""
@@ -335,7 +335,7 @@
                 entry.handle.send_signal(signal.SIGKILL)
 
 
-async def call(entry: EntryProcess, path: str, request_id: str, **options: Any) -> Got:
+async def call(entry: EntryProcess, path: str, request_id: str, **options: Any) -> CallerResponse:
     """Send one request on a new connection and return the response."""
     caller = Caller(entry.callers)
     try:
--- a/packages/ragwortwing-lab/src/ragwortwing_lab/standins/published_backend.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/standins/published_backend.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenRun:
+class RecordedRun:
     """A request that a backend server started to run."""
 
     request_id: str
@@ -106,7 +106,7 @@
     """Value of the `server-limit` header, in requests per second; None sends no header."""
     arrivals: list[str] = field(default_factory=list)
     arrived_at: list[float] = field(default_factory=list)
-    runs: list[SeenRun] = field(default_factory=list)
+    runs: list[RecordedRun] = field(default_factory=list)
     broken_off: list[str] = field(default_factory=list)
     """Ids of requests whose connection was closed while they ran."""
     running: int = 0
@@ -245,7 +245,7 @@
         return ((b"server-limit", self.rate_limit.encode()),)
 
 
-def _recorded_run(request_id: str, request: HttpRequest) -> SeenRun:
-    return SeenRun(
+def _recorded_run(request_id: str, request: HttpRequest) -> RecordedRun:
+    return RecordedRun(
         request_id, request.path, request.body, request.headers_by_name, trio.current_time()
     )
--- a/packages/ragwortwing-lab/tests/test_soak.py
+++ b/packages/ragwortwing-lab/tests/test_soak.py
@@ -13,8 +13,8 @@
 from ragwortwing_lab.soak.observations import Attempt, Kind, Span
 from ragwortwing_lab.soak.runner import SoakShape, run_soak
 from ragwortwing_lab.soak.schedule import STRESS_FAULTS, SoakFault, draw_schedule
-from ragwortwing_lab.standins.platform_site import Got, platform_site
-from ragwortwing_lab.standins.published_backend import PublishedBackend, SeenRun
+from ragwortwing_lab.standins.platform_site import CallerResponse, platform_site
+from ragwortwing_lab.standins.published_backend import PublishedBackend, RecordedRun
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -26,12 +26,14 @@
     kind: Kind, status: int | None, body: bytes = b"", *, whole: bool = True
 ) -> Attempt:
     headers = {"x-request-id": "r-1", "x-server-stamp": "s"}
-    return Attempt("r-1", kind, "entry-0/1", 0.0, 0.1, Got(status, headers, body, whole, 0.1))
+    return Attempt(
+        "r-1", kind, "entry-0/1", 0.0, 0.1, CallerResponse(status, headers, body, whole, 0.1)
+    )
 
 
 def make_backends(kind: Kind, times: int) -> list[PublishedBackend]:
     backend = PublishedBackend("i-1", "desk")
-    backend.runs = [SeenRun("r-1", f"/{kind}/x", b"", {}, 0.0)] * times
+    backend.runs = [RecordedRun("r-1", f"/{kind}/x", b"", {}, 0.0)] * times
     return [backend]
 
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/admission.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/admission.py
@@ -68,7 +68,7 @@
         A request that has begun is not refused, because its caller has part of the answer. Nor is
         a late request refused if a slot is free or can be freed by preemption.
         """
-        if request.begun:
+        if request.has_started:
             return None
         if request.reservation.deadline <= now:
             return Refuse(request.request_id, NotRunReason.DEADLINE)
@@ -97,7 +97,7 @@
         refusals: list[Refuse] = []
         for request in state.queue.in_service_order(tier):
             seconds = wait(ahead)
-            if request.begun:
+            if request.has_started:
                 ahead += 1
             elif request.reservation.deadline <= now:
                 refusals.append(Refuse(request.request_id, NotRunReason.DEADLINE))
@@ -113,7 +113,7 @@
         Granting slots to late requests delays requests that are still on time. Under sustained
         overload every answer would then be slightly late.
         """
-        if request.begun or self._time_left(request, now) >= 0.0:
+        if request.has_started or self._time_left(request, now) >= 0.0:
             return False
         return self._state.queue.count_in(request.tier) > 1
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_log.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/configuration_log.py
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class EvaluatedRecord:
     """A record of the stream with its verdict."""
 
     offset: int
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FoldState:
+class ConfigurationLogState:
     """The state that results from the records before `position`."""
 
     position: int = 0
@@ -159,11 +159,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class StepResult:
     """The state after a record and the verdicts that became known with it."""
 
-    state: FoldState
-    judged: tuple[Judged, ...] = ()
+    state: ConfigurationLogState
+    evaluated: tuple[EvaluatedRecord, ...] = ()
 
 
 _decoder: msgspec.json.Decoder[Entry] = msgspec.json.Decoder(Entry)
@@ -182,7 +182,7 @@
         return None
 
 
-def skip_to(state: FoldState, first_offset: int) -> FoldState:
+def skip_to(state: ConfigurationLogState, first_offset: int) -> ConfigurationLogState:
     """Return the state after skipping to a later offset, the first that can still be read.
 
     The configuration stays in force, because a gap can only hide a newer revision.
@@ -192,7 +192,7 @@
     return replace(state, position=first_offset, complete=False, gap_end=first_offset, pending=())
 
 
-def apply(state: FoldState, record: RawRecord) -> Step:
+def apply(state: ConfigurationLogState, record: RawRecord) -> StepResult:
     """Fold one record into the state.
 
     Args:
@@ -201,24 +201,24 @@
             harmless. A later record is treated as the first one after a gap.
     """
     if record.offset < state.position:
-        return Step(state)
+        return StepResult(state)
     state = skip_to(state, record.offset)
     if state.complete:
         return _evaluate(state, record)
     return _buffer(state, record)
 
 
-def _evaluate(state: FoldState, record: RawRecord) -> Step:
+def _evaluate(state: ConfigurationLogState, record: RawRecord) -> StepResult:
     entry = decode_entry(record.payload)
     moved = replace(state, position=record.offset + 1)
     if entry is None:
         fault = Fault("", "the record cannot be decoded")
-        return Step(moved, (Judged(record.offset, None, Invalid((fault,))),))
+        return StepResult(moved, (EvaluatedRecord(record.offset, None, Invalid((fault,))),))
     if isinstance(entry, Checkpoint):
-        return Step(moved, (Judged(record.offset, entry, Noted()),))
+        return StepResult(moved, (EvaluatedRecord(record.offset, entry, Noted()),))
     if entry.base is not UNCONDITIONAL and entry.base != state.revision:
         conflict = Conflict(entry.base, state.revision, state.preset)
-        return Step(moved, (Judged(record.offset, entry, conflict),))
+        return StepResult(moved, (EvaluatedRecord(record.offset, entry, conflict),))
     if isinstance(entry, Publication):
         document: Mapping[str, Any] | None = entry.document
         configuration = _apply_publication(state, entry, record.offset)
@@ -226,14 +226,16 @@
         document = state.document
         configuration = _apply_switch(state, entry, record.offset)
     if isinstance(configuration, Refused):
-        return Step(moved, (Judged(record.offset, entry, Invalid(configuration.faults)),))
+        return StepResult(
+            moved, (EvaluatedRecord(record.offset, entry, Invalid(configuration.faults)),)
+        )
     accepted = replace(moved, configuration=configuration, document=document)
     verdict = Accepted(record.offset, entry.preset)
-    return Step(accepted, (Judged(record.offset, entry, verdict),))
+    return StepResult(accepted, (EvaluatedRecord(record.offset, entry, verdict),))
 
 
 def _apply_publication(
-    state: FoldState, entry: Publication, revision: int
+    state: ConfigurationLogState, entry: Publication, revision: int
 ) -> Configuration | Refused:
     before = None
     if state.document is not None and state.configuration is not None:
@@ -241,7 +243,9 @@
     return read_document(entry.document, revision, entry.preset, before)
 
 
-def _apply_switch(state: FoldState, entry: PresetSwitch, revision: int) -> Configuration | Refused:
+def _apply_switch(
+    state: ConfigurationLogState, entry: PresetSwitch, revision: int
+) -> Configuration | Refused:
     if state.configuration is None:
         return Refused((Fault("", "cannot switch the preset: no configuration is in force"),))
     if entry.preset not in state.configuration.presets_by_name:
@@ -249,7 +253,7 @@
     return replace(state.configuration, revision=revision, preset=entry.preset)
 
 
-def _buffer(state: FoldState, record: RawRecord) -> Step:
+def _buffer(state: ConfigurationLogState, record: RawRecord) -> StepResult:
     """Buffer a record after a gap, and fold the buffer once a checkpoint covers the gap."""
     pending = (*state.pending, record)[-PENDING_LIMIT:]
     gap_end = max(state.gap_end, pending[0].offset)
@@ -259,40 +263,44 @@
         # An unconditional publication does not depend on the unknown state before it.
         resumed = replace(state, complete=True, pending=(), position=record.offset)
         step = _evaluate(resumed, record)
-        if isinstance(step.judged[0].verdict, Accepted):
+        if isinstance(step.evaluated[0].verdict, Accepted):
             return step
-        return Step(buffered, (Judged(record.offset, entry, step.judged[0].verdict),))
+        return StepResult(
+            buffered, (EvaluatedRecord(record.offset, entry, step.evaluated[0].verdict),)
+        )
     if not isinstance(entry, Checkpoint):
-        return Step(buffered, (Judged(record.offset, entry, Unjudged()),))
+        return StepResult(buffered, (EvaluatedRecord(record.offset, entry, Unjudged()),))
     # The checkpoint may be older than buffered records that were appended while another process
     # wrote it. Folding the buffered records from its offset `through` gives the same state as
     # reading the whole stream. A checkpoint of a state before the end of the gap cannot be used.
     if not gap_end <= entry.through <= record.offset or entry.revision < state.revision:
-        return Step(buffered, (Judged(record.offset, entry, Noted()),))
+        return StepResult(buffered, (EvaluatedRecord(record.offset, entry, Noted()),))
     base = _restore_checkpoint(entry)
     if base is None:
-        return Step(buffered, (Judged(record.offset, entry, Noted()),))
-    judged: list[Judged] = []
+        return StepResult(buffered, (EvaluatedRecord(record.offset, entry, Noted()),))
+    evaluated: list[EvaluatedRecord] = []
     for each in pending:
         if each.offset >= entry.through:
             step = _evaluate(base, each)
             base = step.state
-            judged.extend(step.judged)
-    return Step(base, tuple(judged))
+            evaluated.extend(step.evaluated)
+    return StepResult(base, tuple(evaluated))
 
 
-def _restore_checkpoint(checkpoint: Checkpoint) -> FoldState | None:
+def _restore_checkpoint(checkpoint: Checkpoint) -> ConfigurationLogState | None:
     if checkpoint.revision == NO_REVISION:
-        return FoldState(position=checkpoint.through)
+        return ConfigurationLogState(position=checkpoint.through)
     configuration = read_document(checkpoint.document, checkpoint.revision, checkpoint.preset)
     if isinstance(configuration, Refused):
         return None
-    return FoldState(
+    return ConfigurationLogState(
         position=checkpoint.through, configuration=configuration, document=checkpoint.document
     )
 
 
-def checkpoint_of(state: FoldState, record_id: str, written_at: float) -> Checkpoint | None:
+def checkpoint_of(
+    state: ConfigurationLogState, record_id: str, written_at: float
+) -> Checkpoint | None:
     """Return the checkpoint of a state, or None if the state is incomplete or empty."""
     if not state.complete or state.configuration is None or state.document is None:
         return None
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/_engine_choice.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from .engine_load import PromptReading
+from .engine_load import PrefillPlan
 from .lanes import rank
-from .placement_question import NoRoom, Placed, counted_seconds
+from .placement_request import NotPlaced, Placed, counted_seconds
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -15,7 +15,7 @@
 
     from .backend_list import BackendServer
     from .engine_load import EngineLoad
-    from .placement_question import PlacementQuestion
+    from .placement_request import PlacementRequest
     from .routing_table import EngineTraits
 
 HOME_PREFERENCE_SECONDS = 0.12
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        question: PlacementQuestion,
+        placement_request: PlacementRequest,
         load_by_engine: Mapping[BackendServer, EngineLoad],
         traits: EngineTraits,
         now: Instant,
@@ -49,7 +49,7 @@
         """Create the choice.
 
         Args:
-            question: The request.
+            placement_request: The request.
             load_by_engine: The available engines and their loads.
             traits: The configured properties of the engines.
             now: The current instant.
@@ -57,36 +57,45 @@
             budget: Seconds of prefill within a pause that streams like the request's tolerate; None
                 if not limited.
         """
-        self.question = question
+        self.placement_request = placement_request
         self._traits = traits
         self._stretch = stretch
         self._budget = budget
         self._now = now
         self._load_by_id = {each.id: load for each, load in load_by_engine.items()}
-        prompt = question.prompt
+        prompt = placement_request.prompt
         self._kept_by_id = {key: load.kept_tokens(prompt) for key, load in self._load_by_id.items()}
         self._fetchable_by_id = {
             key: load.read_tokens(prompt) for key, load in self._load_by_id.items()
         }
         self._source = self._fetch_source(list(load_by_engine))
 
-    def best(self, engines: Sequence[BackendServer], *, at_home: bool) -> Placed | NoRoom:
+    def best(
+        self, engines: Sequence[BackendServer], *, prefer_cached_engine: bool
+    ) -> Placed | NotPlaced:
         """Return the engine with the earliest first event, with preference for the home engine."""
-        prompt = self.question.prompt
-        fitting = [each for each in engines if self._load(each).fits(prompt, self.question.urgency)]
+        prompt = self.placement_request.prompt
+        fitting = [
+            each
+            for each in engines
+            if self._load(each).fits(prompt, self.placement_request.urgency)
+        ]
         if not fitting:
-            return NoRoom(None)
+            return NotPlaced(None)
         after_by_id = {each.id: self._first_event_after(each) for each in fitting}
         earliest = min(after_by_id.values())
-        best = self._home(fitting) if at_home else None
+        best = self._home(fitting) if prefer_cached_engine else None
         if best is None or after_by_id[best.id] > earliest + HOME_PREFERENCE_SECONDS:
             equal = [
                 each for each in fitting if after_by_id[each.id] <= earliest + EQUAL_WITHIN_SECONDS
             ]
-            best = min(equal, key=lambda each: self._preference(each, at_home=at_home))
+            best = min(
+                equal,
+                key=lambda each: self._preference(each, prefer_cached_engine=prefer_cached_engine),
+            )
         after = after_by_id[best.id]
-        if at_home and after > self.question.latency_target:
-            return NoRoom(after)
+        if prefer_cached_engine and after > self.placement_request.latency_target:
+            return NotPlaced(after)
         return Placed(best, self.reading(best), after)
 
     def within_budget(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
@@ -95,7 +104,7 @@
         An engine that prefills continuously generates one token per prefill chunk: every event
         of every stream on it is late, and long answers miss their deadline.
         """
-        budget, span = self._budget, self.question.pause_target
+        budget, span = self._budget, self.placement_request.pause_target
         if budget is None or span is None:
             return list(engines)
         return [each for each in engines if self._is_within_budget(each, budget, span)]
@@ -106,7 +115,8 @@
         if planned <= 0.0:
             return True
         return (
-            planned + counted_seconds(load.reading_seconds(self.reading(engine)), budget) <= budget
+            planned + counted_seconds(load.predicted_prefill_seconds(self.reading(engine)), budget)
+            <= budget
         )
 
     def within_allowance(self, engines: Sequence[BackendServer]) -> list[BackendServer]:
@@ -123,24 +133,24 @@
         A short prompt always fits on an engine without pending prefill.
         """
         load = self._load(engine)
-        pending = load.reading_within(self.question.shortest_pause or 0.0, self._now)
-        if pending <= 0.0 and not self.question.prompt.is_long:
+        pending = load.reading_within(self.placement_request.shortest_pause or 0.0, self._now)
+        if pending <= 0.0 and not self.placement_request.prompt.is_long:
             return True
-        return pending + load.reading_seconds(self.reading(engine)) <= (
-            self.question.reading_allowance
+        return pending + load.predicted_prefill_seconds(self.reading(engine)) <= (
+            self.placement_request.prefill_allowance
         )
 
-    def reading(self, engine: BackendServer) -> PromptReading:
+    def reading(self, engine: BackendServer) -> PrefillPlan:
         """Return how an engine would obtain the prompt, by reading and by fetching."""
-        tokens, kept = self.question.prompt.prompt_tokens, self._kept_by_id[engine.id]
-        alone = PromptReading(max(1, tokens - kept))
+        tokens, kept = self.placement_request.prompt.prompt_tokens, self._kept_by_id[engine.id]
+        alone = PrefillPlan(max(1, tokens - kept))
         if self._source is None:
             return alone
         kept_there = self._fetchable_by_id[self._source.id]
         seconds = self._traits.fetch_seconds(kept_there - kept)
         if kept_there - kept < MINIMUM_FETCHED_TOKENS or seconds is None:
             return alone
-        return PromptReading(max(1, tokens - kept_there), self._source, seconds)
+        return PrefillPlan(max(1, tokens - kept_there), self._source, seconds)
 
     def _fetch_source(self, engines: Sequence[BackendServer]) -> BackendServer | None:
         """Return the engine that has read most of the prompt.
@@ -151,7 +161,7 @@
         if most < MINIMUM_FETCHED_TOKENS:
             return None
         sources = [each for each in engines if self._fetchable_by_id[each.id] == most]
-        return min(sources, key=lambda each: rank(self.question.prompt.session, each.id))
+        return min(sources, key=lambda each: rank(self.placement_request.prompt.session, each.id))
 
     def _home(self, engines: Sequence[BackendServer]) -> BackendServer:
         """Return the engine that caches most of the session's parts.
@@ -160,48 +170,48 @@
         """
         most = max(self._kept_by_id[each.id] for each in engines)
         keepers = [each for each in engines if self._kept_by_id[each.id] == most]
-        return min(keepers, key=lambda each: rank(self.question.prompt.session, each.id))
+        return min(keepers, key=lambda each: rank(self.placement_request.prompt.session, each.id))
 
-    def _preference(self, engine: BackendServer, *, at_home: bool) -> tuple[bool, int]:
+    def _preference(self, engine: BackendServer, *, prefer_cached_engine: bool) -> tuple[bool, int]:
         """Return the sort key among equal engines: zone (if not at home), then session.
 
         Traffic between availability zones is billed.
         """
-        elsewhere = not at_home and engine.zone != self.question.zone
-        return elsewhere, rank(self.question.prompt.session, engine.id)
+        elsewhere = not prefer_cached_engine and engine.zone != self.placement_request.zone
+        return elsewhere, rank(self.placement_request.prompt.session, engine.id)
 
     def _load(self, engine: BackendServer) -> EngineLoad:
         return self._load_by_id[engine.id]
 
     def _first_event_after(self, engine: BackendServer) -> float:
         load = self._load(engine)
-        reading, urgency = self.reading(engine), self.question.urgency
+        reading, urgency = self.reading(engine), self.placement_request.urgency
         after = load.first_event_after(reading, self._now, urgency, self._stretch)
         return after + _running_penalty(load)
 
 
 def place_long_prompt(
     choice: EngineChoice, short: Sequence[BackendServer], long: Sequence[BackendServer]
-) -> Placed | NoRoom:
+) -> Placed | NotPlaced:
     lane = long or short
-    found = choice.best(choice.within_budget(lane), at_home=True)
+    found = choice.best(choice.within_budget(lane), prefer_cached_engine=True)
     if isinstance(found, Placed) or not long:
         return found
     within_allowance = choice.within_allowance(short)
     if within_allowance:
-        found = choice.best(within_allowance, at_home=True)
-    if isinstance(found, Placed) or choice.question.may_wait:
+        found = choice.best(within_allowance, prefer_cached_engine=True)
+    if isinstance(found, Placed) or choice.placement_request.may_wait:
         return found
-    return choice.best(lane, at_home=True)
+    return choice.best(lane, prefer_cached_engine=True)
 
 
 def _running_penalty(load: EngineLoad) -> float:
     return RUNNING_REQUEST_PENALTY * load.running
 
 
-def earlier(first: Placed | NoRoom, second: Placed | NoRoom) -> Placed | NoRoom:
-    if isinstance(first, NoRoom):
+def earlier(first: Placed | NotPlaced, second: Placed | NotPlaced) -> Placed | NotPlaced:
+    if isinstance(first, NotPlaced):
         return second
-    if isinstance(second, NoRoom):
+    if isinstance(second, NotPlaced):
         return first
     return min(first, second, key=lambda each: each.first_event_after)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/admission_queue.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/admission_queue.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from .backend_list import BackendServer
-from .engine_load import PromptReading
-from .placement_question import LeastPlanned, NoRoom, Placed, PlacementQuestion
+from .engine_load import PrefillPlan
+from .placement_request import MinPendingPrefill, NotPlaced, Placed, PlacementRequest
 from .prompt_parts import Prompt
 from .queue_order import (
     Waiter,
@@ -59,7 +59,7 @@
 
     request: WaitingRequest
     backend: BackendServer
-    reading: PromptReading
+    reading: PrefillPlan
     backlog: float
     """Seconds of prefill that were ahead of the request."""
     running: int
@@ -92,7 +92,7 @@
         self._unread_by_ticket: dict[str, int] = {}
         """Minimum prompt tokens that any engine had to read when the request arrived."""
         self._earliest_by_urgency: dict[int, float] = {}
-        self._least_planned_by_urgency: dict[int, LeastPlanned] = {}
+        self._least_planned_by_urgency: dict[int, MinPendingPrefill] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -103,7 +103,7 @@
 
     def enter(self, request: WaitingRequest, now: Instant) -> None:
         """Add a request to the queue."""
-        unread = self._placement.count_arrival(self._question(request, now), now)
+        unread = self._placement.count_arrival(self._placement_request(request, now), now)
         self._unread_by_ticket[request.ticket] = unread
         self._waiting[request.ticket] = request
 
@@ -164,19 +164,21 @@
         engines = self._limits.admitting(engines, now, self._share)
         if not engines:
             return None
-        question = self._question(request, now)
+        placement_request = self._placement_request(request, now)
         unread = self._unread_by_ticket[request.ticket]
-        if not request.avoid and self._cannot_be_placed(question, unread, engines, traits, now):
+        if not request.avoid and self._cannot_be_placed(
+            placement_request, unread, engines, traits, now
+        ):
             return None
-        found = self._placement.place(question, engines, traits, now)
-        if isinstance(found, NoRoom):
+        found = self._placement.place(placement_request, engines, traits, now)
+        if isinstance(found, NotPlaced):
             return None
         self._clear_bounds()
         return self._grant(request, found, traits, now)
 
     def _cannot_be_placed(
         self,
-        question: PlacementQuestion,
+        placement_request: PlacementRequest,
         unread: int,
         engines: Sequence[BackendServer],
         traits: EngineTraits,
@@ -186,21 +188,26 @@
 
         In an overload hundreds of requests wait, and a single pass can place only few of them.
         """
-        earliest = self._earliest_by_urgency.get(question.urgency)
+        earliest = self._earliest_by_urgency.get(placement_request.urgency)
         if earliest is None:
-            earliest = self._placement.earliest_first_event(engines, traits, question.urgency, now)
-            self._earliest_by_urgency[question.urgency] = earliest
-        if earliest == inf or not question.prompt.is_long:
+            earliest = self._placement.earliest_first_event(
+                engines, traits, placement_request.urgency, now
+            )
+            self._earliest_by_urgency[placement_request.urgency] = earliest
+        if earliest == inf or not placement_request.prompt.is_long:
             return earliest == inf
-        if earliest > question.latency_target:
+        if earliest > placement_request.latency_target:
             return True
-        if not question.may_wait or self._placement.budget_seconds(question, now) is None:
+        if (
+            not placement_request.may_wait
+            or self._placement.budget_seconds(placement_request, now) is None
+        ):
             return False
-        planned = self._least_planned_by_urgency.get(question.urgency)
+        planned = self._least_planned_by_urgency.get(placement_request.urgency)
         if planned is None:
-            planned = self._placement.least_planned(question, engines, traits, now)
-            self._least_planned_by_urgency[question.urgency] = planned
-        return not planned.may_fit(question, unread)
+            planned = self._placement.least_planned(placement_request, engines, traits, now)
+            self._least_planned_by_urgency[placement_request.urgency] = planned
+        return not planned.may_fit(placement_request, unread)
 
     def _clear_bounds(self) -> None:
         self._earliest_by_urgency.clear()
@@ -237,10 +244,10 @@
         )
         return due_at(waiter, first_event_when_idle)
 
-    def _question(self, request: WaitingRequest, now: Instant) -> PlacementQuestion:
+    def _placement_request(self, request: WaitingRequest, now: Instant) -> PlacementRequest:
         waiter = request.waiter
         target = latest_first_event(waiter, self._due(request)) - now
-        return PlacementQuestion(
+        return PlacementRequest(
             self._service,
             request.prompt,
             target,
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/engine_load.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/engine_load.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptReading:
+class PrefillPlan:
     """How one engine would obtain a prompt."""
 
     unread_tokens: int
@@ -64,7 +64,7 @@
     memory_tokens: int
     sent_at: Instant
     urgency: int
-    reading_seconds: float
+    predicted_prefill_seconds: float
     """Estimated prefill time of its prompt."""
     predicted: float
     """Seconds of prefill ahead of its first event, its own included."""
@@ -140,17 +140,17 @@
         longest = self._unread.seconds() / max(1, self._unread.prompts)
         return min(now - self._progress_at, longest)
 
-    def reading_of(self, prompt: Prompt) -> PromptReading:
+    def plan_prefill(self, prompt: Prompt) -> PrefillPlan:
         """Return how this engine obtains a prompt without fetching from another engine."""
-        return PromptReading(max(1, prompt.prompt_tokens - self.kept_tokens(prompt)))
+        return PrefillPlan(max(1, prompt.prompt_tokens - self.kept_tokens(prompt)))
 
-    def reading_seconds(self, reading: PromptReading) -> float:
+    def predicted_prefill_seconds(self, reading: PrefillPlan) -> float:
         """Return the seconds until this engine has read a prompt."""
         return reading.unread_tokens / self.tokens_per_second + reading.fetch_seconds
 
     def first_event_after(
         self,
-        reading: PromptReading,
+        reading: PrefillPlan,
         now: Instant,
         urgency: int = LEAST_URGENT_TIER,
         stretch: float = 1.0,
@@ -163,7 +163,7 @@
             urgency: The request's urgency.
             stretch: Factor by which prefill takes longer than its tokens alone.
         """
-        ahead = self.backlog(now, urgency) + self.reading_seconds(reading)
+        ahead = self.backlog(now, urgency) + self.predicted_prefill_seconds(reading)
         return stretch * ahead + FIRST_EVENT_OVERHEAD
 
     @property
@@ -194,7 +194,7 @@
         self,
         ticket: str,
         prompt: Prompt,
-        reading: PromptReading,
+        reading: PrefillPlan,
         now: Instant,
         urgency: int = LEAST_URGENT_TIER,
         *,
@@ -211,7 +211,7 @@
             is_read: Whether its first event has already arrived.
         """
         self.short_running += not prompt.is_long
-        seconds = self.reading_seconds(reading)
+        seconds = self.predicted_prefill_seconds(reading)
         queued = self.backlog(now)
         predicted = self.backlog(now, urgency) + seconds
         self.cache.use(prompt.parts)
@@ -248,7 +248,7 @@
             return None
         run.read = True
         self.cache.read(run.parts)
-        self._unread.remove(run.urgency, run.reading_seconds)
+        self._unread.remove(run.urgency, run.predicted_prefill_seconds)
         self._progress_at = now
         self._learn_rate(run, now)
         return run
@@ -262,7 +262,7 @@
         self.short_running -= not run.is_long
         if not run.read:
             self.cache.drop_unread(run.parts)
-            self._unread.remove(run.urgency, run.reading_seconds)
+            self._unread.remove(run.urgency, run.predicted_prefill_seconds)
 
     def _learn_rate(self, run: RunOnEngine, now: Instant) -> None:
         reading = now - run.sent_at - FIRST_EVENT_OVERHEAD - run.queued
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/backend_trust.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/failure_tracker.py
@@ -38,16 +38,16 @@
     excluded_until: Instant = 0.0
 
 
-class BackendTrust:
+class FailureTracker:
     """Failure rates of backend servers, measured from calls to them.
 
     Example:
-        >>> trust = BackendTrust()
-        >>> trust.failed("i-1", now=0.0)
+        >>> failure_tracker = FailureTracker()
+        >>> failure_tracker.failed("i-1", now=0.0)
         False
-        >>> trust.failed("i-1", now=0.1)
+        >>> failure_tracker.failed("i-1", now=0.1)
         True
-        >>> trust.is_excluded("i-1", now=0.5), trust.is_excluded("i-1", now=2.0)
+        >>> failure_tracker.is_excluded("i-1", now=0.5), failure_tracker.is_excluded("i-1", now=2.0)
         (True, False)
     """
 
@@ -77,7 +77,9 @@
         record = self._by_id.get(backend_id)
         return record is not None and now < record.excluded_until
 
-    def trusted(self, backends: Sequence[BackendServer], now: Instant) -> Sequence[BackendServer]:
+    def without_excluded(
+        self, backends: Sequence[BackendServer], now: Instant
+    ) -> Sequence[BackendServer]:
         """Return the servers that are not excluded, or all if too many are excluded."""
         available_backends = [each for each in backends if not self.is_excluded(each.id, now)]
         if len(available_backends) < (1 - MAXIMUM_EXCLUDED_SHARE) * len(backends):
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/feed_watch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/feed_watch.py
@@ -61,7 +61,7 @@
 """Maximum seconds between retries of the other entries while no entry reaches the store. They
 are notified when it returns; this retry covers a lost notification."""
 
-AFTER_OUTAGE = 2.5
+POST_OUTAGE_SECONDS = 2.5
 """Seconds after the store's return during which a removal may be an effect of the outage.
 Expired registrations are back within about two seconds; half a second is for noticing the
 return."""
@@ -79,7 +79,7 @@
 HISTORY_KEPT = 600
 """Number of history records kept: half a minute if both values occur."""
 
-BEHIND_FOR = 0.15
+CATCH_UP_DELAY = 0.15
 """Seconds for which an entry stays behind before it reads again: the answer to its pending read
 is probably on the way."""
 
@@ -113,7 +113,7 @@
         return self._position_by_feed
 
     @property
-    def heard_at_by_feed(self) -> Mapping[str, Instant]:
+    def last_heard_by_feed(self) -> Mapping[str, Instant]:
         """When the store last answered a read of each feed."""
         return self._heard_at_by_feed
 
@@ -127,7 +127,7 @@
         """Record the position reached through records that a watcher relayed."""
         self._position_by_feed[feed] = max(position, self._position_by_feed.get(feed, -1))
 
-    def outage_over(self, unsure_until: Instant) -> None:
+    def record_outage_end(self, unsure_until: Instant) -> None:
         """Record that the store is back, and how long removals may be an effect of the outage."""
         self._unsure_until = max(self._unsure_until, unsure_until)
 
@@ -140,7 +140,7 @@
         heard_at = self._heard_store_at
         return heard_at is not None and now - heard_at < STORE_SILENCE
 
-    def told(
+    def peer_reported(
         self,
         peer: str,
         positions_by_feed: Mapping[str, int],
@@ -160,7 +160,7 @@
         if before is not None and now - before.heard_at >= PEER_SILENCE:
             returned_at = now
         if returned_at is None or now - returned_at >= RETURN_GRACE:
-            self.outage_over(now + unsure_for)
+            self.record_outage_end(now + unsure_for)
         # Entries that rely on watchers regularly report that they do not reach the store. It has
         # come back only if no other entry reached it before.
         if hears_store and before is not None and not self._peers(now, hearing=True):
@@ -180,14 +180,14 @@
         """
         return self._is_among_first(self._peers(now, hearing=True))
 
-    def retry_limit(self, now: Instant) -> float:
+    def maximum_retry_delay(self, now: Instant) -> float:
         """Return the maximum seconds until the next attempt while the store does not answer."""
         if self._peers(now, hearing=True):
             return REJECTED_RETRY
         probes = self._is_among_first(self._peers(now, hearing=False))
         return PROBE_RETRY if probes else IDLE_RETRY
 
-    def was_for_all(self, lost_at: Instant, now: Instant) -> bool:
+    def may_be_fleet_wide(self, lost_at: Instant, now: Instant) -> bool:
         """Return whether an outage that this entry observed may have affected all entries.
 
         It did not if a peer reached the store meanwhile: the store then rejected only this
@@ -238,7 +238,9 @@
     def is_behind(self, feed: str, now: Instant) -> bool:
         """Return whether others have been ahead in a feed for longer than an answer takes."""
         position, reported_at = self._peer_position_by_feed.get(feed, (-1, 0.0))
-        return position > self._position_by_feed.get(feed, -1) and now - reported_at > BEHIND_FOR
+        return (
+            position > self._position_by_feed.get(feed, -1) and now - reported_at > CATCH_UP_DELAY
+        )
 
     def records_behind(self, feed: str) -> int:
         """Return how many records of a feed other entries have read and this one has not."""
@@ -258,7 +260,7 @@
         """Return whether this entry relays the records it reads: the first-ranked watcher does."""
         return self._ahead(self._peers(now, hearing=True)) == 0
 
-    def take_over_delay(self, now: Instant) -> float:
+    def takeover_delay(self, now: Instant) -> float:
         """Return the seconds to wait so that better-ranked entries can take over first."""
         ahead = self._ahead(self._peers(now, hearing=False))
         return min(MAXIMUM_TAKEOVER_DELAY, TAKEOVER_STEP * ahead)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/first_event_stretch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/first_event_stretch.py
@@ -18,7 +18,7 @@
 """Minimum and maximum ratio. An engine that stalls is handled by its health, not by this ratio."""
 
 
-class FirstEventStretch:
+class FirstEventRatioEstimator:
     """Learns, for each urgency, the ratio of actual to predicted time to the first event.
 
     The prediction sums the prefill that is ahead of a request when it is sent. Engines also
@@ -28,7 +28,7 @@
     serve all of them on time.
 
     Example:
-        >>> stretch = FirstEventStretch()
+        >>> stretch = FirstEventRatioEstimator()
         >>> for _ in range(60):
         ...     stretch.learn(5, predicted=0.5, actual=1.0)
         >>> round(stretch.factor(5), 1), stretch.factor(0)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/peer_status.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/peer_status.py
@@ -49,7 +49,7 @@
     """Rate limits of backend servers that it has observed recently."""
 
 
-class StatusBook:
+class StatusExchange:
     """Creates this entry's status and processes those of other entries."""
 
     def __init__(
@@ -74,7 +74,7 @@
         self._sent: PeerStatus | None = None
         self._sent_at: Instant = 0.0
 
-    def schedules(self, now: Instant, *, can_schedule: bool) -> None:
+    def update_can_schedule(self, now: Instant, *, can_schedule: bool) -> None:
         """Record whether this entry can schedule."""
         if not can_schedule:
             self._schedules_since = None
@@ -108,7 +108,7 @@
             hears_store=self._watch.hears_store(now),
             unsure_for=round(self._watch.unsure_for(now), 3),
             positions_by_feed=dict(self._watch.positions_by_feed),
-            unix_time=self._fleet_time.own_reading(),
+            unix_time=self._fleet_time.local_unix_time(),
             can_hold_duties=self._candidates.can_hold,
             offset_by_duty=dict(self._candidates.offset_by_duty),
             limits_by_backend=self._limits.notices(now),
@@ -121,17 +121,19 @@
         if status.uptime is None:
             self._choice.withdraw(status.sender)
         else:
-            self._choice.hear(Candidate(status.sender, status.capacity, status.uptime, now))
-        self._watch.told(
+            self._choice.update_from_peer(
+                Candidate(status.sender, status.capacity, status.uptime, now)
+            )
+        self._watch.peer_reported(
             status.sender,
             status.positions_by_feed,
             now,
             hears_store=status.hears_store,
             unsure_for=status.unsure_for,
         )
-        self._candidates.hear(status.sender, can_hold=status.can_hold_duties, now=now)
+        self._candidates.update_from_peer(status.sender, can_hold=status.can_hold_duties, now=now)
         if status.unix_time is not None:
-            self._fleet_time.hear(status.sender, status.unix_time)
+            self._fleet_time.update_from_peer(status.sender, status.unix_time)
 
     def _urgent_values(self, status: PeerStatus | None, now: Instant) -> tuple[object, ...]:
         """Return the values that other entries react to at once; the rest may be a second old."""
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement.py
@@ -12,9 +12,9 @@
     EngineLoad,
     RunOnEngine,
 )
-from .first_event_stretch import FirstEventStretch
+from .first_event_stretch import FirstEventRatioEstimator
 from .lanes import Lanes
-from .placement_question import LeastPlanned, NoRoom, Placed, PlacementQuestion
+from .placement_request import MinPendingPrefill, NotPlaced, Placed, PlacementRequest
 from .prefill_budget import PrefillBudget
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.loads_by_id: dict[str, EngineLoad] = {}
         self._lanes_by_service: dict[str, Lanes] = {}
-        self._stretch_by_service: dict[str, FirstEventStretch] = {}
+        self._stretch_by_service: dict[str, FirstEventRatioEstimator] = {}
         self._budgets: dict[tuple[str, int], PrefillBudget] = {}
 
     def load(self, backend: BackendServer, traits: EngineTraits) -> EngineLoad:
@@ -78,9 +78,9 @@
         stretch = self.stretch(service).factor(urgency)
         return stretch * prompt.prompt_tokens / rate + FIRST_EVENT_OVERHEAD
 
-    def stretch(self, service: str) -> FirstEventStretch:
+    def stretch(self, service: str) -> FirstEventRatioEstimator:
         """Return the learned delay of first events on a service's engines."""
-        return self._stretch_by_service.setdefault(service, FirstEventStretch())
+        return self._stretch_by_service.setdefault(service, FirstEventRatioEstimator())
 
     def first_event(self, backend_id: str, ticket: str, now: Instant) -> RunOnEngine | None:
         """Record that a request's prompt has been read, and learn from the time it took.
@@ -105,20 +105,22 @@
         engines = sum(each.service == load.service for each in self.loads_by_id.values())
         self._prefill_budget(load.service, run.urgency).exceeded(now, engines)
 
-    def budget_seconds(self, question: PlacementQuestion, now: Instant) -> float | None:
+    def budget_seconds(self, placement_request: PlacementRequest, now: Instant) -> float | None:
         """Return the seconds of prefill within a pause that streams like the request's tolerate.
 
         Returns None if prefill is not limited.
         """
-        fraction = self._prefill_budget(question.service, question.urgency).fraction(now)
-        if fraction is None or question.pause_target is None:
+        fraction = self._prefill_budget(
+            placement_request.service, placement_request.urgency
+        ).fraction(now)
+        if fraction is None or placement_request.pause_target is None:
             return None
-        return fraction * question.pause_target
+        return fraction * placement_request.pause_target
 
     def _prefill_budget(self, service: str, urgency: int) -> PrefillBudget:
         return self._budgets.setdefault((service, urgency), PrefillBudget())
 
-    def count_arrival(self, question: PlacementQuestion, now: Instant) -> int:
+    def count_arrival(self, placement_request: PlacementRequest, now: Instant) -> int:
         """Count the prefill that a request leaves to an engine as work for the lane split.
 
         Cached shared parts do not count. If they did, engines would be reserved for long prompts
@@ -127,29 +129,33 @@
         Returns:
             Minimum number of prompt tokens that any engine has to read.
         """
-        prompt = question.prompt
-        loads = [each for each in self.loads_by_id.values() if each.service == question.service]
+        prompt = placement_request.prompt
+        loads = [
+            each for each in self.loads_by_id.values() if each.service == placement_request.service
+        ]
         kept = max((each.kept_tokens(prompt) for each in loads), default=0)
         unread = max(1, prompt.prompt_tokens - kept)
-        self.lanes(question.service).count(unread, is_long=prompt.is_long, now=now)
+        self.lanes(placement_request.service).count(unread, is_long=prompt.is_long, now=now)
         return unread
 
     def least_planned(
         self,
-        question: PlacementQuestion,
+        placement_request: PlacementRequest,
         engines: Sequence[BackendServer],
         traits: EngineTraits,
         now: Instant,
-    ) -> LeastPlanned:
+    ) -> MinPendingPrefill:
         """Return the least pending prefill of any engine in each lane."""
-        short, long = self._split(question.service, engines, traits, now)
-        spans = (question.shortest_pause or 0.0, question.pause_target or 0.0)
+        short, long = self._split(placement_request.service, engines, traits, now)
+        spans = (placement_request.shortest_pause or 0.0, placement_request.pause_target or 0.0)
         least = [
             min((self.load(each, traits).reading_within(span, now) for each in lane), default=inf)
             for lane, span in zip((short, long or short), spans, strict=True)
         ]
         rate = max((self.load(each, traits).tokens_per_second for each in engines), default=1.0)
-        return LeastPlanned(least[0], least[1], rate, self.budget_seconds(question, now))
+        return MinPendingPrefill(
+            least[0], least[1], rate, self.budget_seconds(placement_request, now)
+        )
 
     def _split(
         self,
@@ -183,35 +189,39 @@
 
     def place(
         self,
-        question: PlacementQuestion,
+        placement_request: PlacementRequest,
         engines: Sequence[BackendServer],
         traits: EngineTraits,
         now: Instant,
-    ) -> Placed | NoRoom:
+    ) -> Placed | NotPlaced:
         """Choose an engine.
 
         Args:
-            question: The request.
+            placement_request: The request.
             engines: Available engines.
             traits: The configured properties of the engines.
             now: The current instant.
         """
-        short, long = self._split(question.service, engines, traits, now)
+        short, long = self._split(placement_request.service, engines, traits, now)
         choice = EngineChoice(
-            question,
+            placement_request,
             {each: self.load(each, traits) for each in engines},
             traits,
             now,
-            stretch=self.stretch(question.service).factor(question.urgency),
-            budget=self.budget_seconds(question, now),
+            stretch=self.stretch(placement_request.service).factor(placement_request.urgency),
+            budget=self.budget_seconds(placement_request, now),
         )
-        if question.prompt.is_long:
+        if placement_request.prompt.is_long:
             return place_long_prompt(choice, short, long)
-        if question.may_wait and short:
+        if placement_request.may_wait and short:
             quiet_engines = choice.within_allowance(short)
-            return choice.best(quiet_engines, at_home=False) if quiet_engines else NoRoom(None)
-        found = choice.best(short or long, at_home=False)
-        limit = question.latency_target * BORROW_BEYOND_FRACTION
+            return (
+                choice.best(quiet_engines, prefer_cached_engine=False)
+                if quiet_engines
+                else NotPlaced(None)
+            )
+        found = choice.best(short or long, prefer_cached_engine=False)
+        limit = placement_request.latency_target * BORROW_BEYOND_FRACTION
         if not long or (isinstance(found, Placed) and found.first_event_after <= limit):
             return found
-        return earlier(found, choice.best(long, at_home=False))
+        return earlier(found, choice.best(long, prefer_cached_engine=False))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement_question.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/placement_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from .backend_list import BackendServer
-from .engine_load import PromptReading
+from .engine_load import PrefillPlan
 from .prompt_parts import Prompt
 
 READING_FRACTION = 0.5
@@ -13,7 +13,7 @@
 streams with that target. The rest of the pause is for the tokens of their event and for prompts
 that another entry sends meanwhile."""
 
-READING_ALLOWANCE = 0.1
+PREFILL_ALLOWANCE = 0.1
 """Seconds of prefill in one go if no pause target is configured."""
 
 MAXIMUM_PROMPT_SHARE = 0.5
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementQuestion:
+class PlacementRequest:
     """A request that needs an engine."""
 
     service: str
@@ -41,10 +41,10 @@
     """Maximum pause in seconds between the request's own events; None if not configured."""
 
     @property
-    def reading_allowance(self) -> float:
+    def prefill_allowance(self) -> float:
         """Seconds of prefill in one go that the most sensitive streams tolerate."""
         if self.shortest_pause is None:
-            return READING_ALLOWANCE
+            return PREFILL_ALLOWANCE
         return READING_FRACTION * self.shortest_pause
 
 
@@ -53,41 +53,41 @@
     """The chosen engine."""
 
     backend: BackendServer
-    reading: PromptReading
+    reading: PrefillPlan
     first_event_after: float
     """Predicted seconds to the first event."""
 
 
 @dataclass(frozen=True, slots=True)
-class LeastPlanned:
+class MinPendingPrefill:
     """The least pending prefill of any engine, as an inexpensive bound for placement."""
 
-    beside_sensitive: float
+    pending_on_short_engines: float
     """Seconds within the shortest pause target, on engines for short prompts."""
-    beside_tolerant: float
+    pending_on_long_engines: float
     """Seconds within the request's own pause target, on engines for long prompts."""
     tokens_per_second: float
     """Prefill rate of the fastest engine."""
     budget: float | None
     """Seconds of prefill within the request's own pause target; None if not limited."""
 
-    def may_fit(self, question: PlacementQuestion, unread: int) -> bool:
+    def may_fit(self, placement_request: PlacementRequest, unread: int) -> bool:
         """Return whether an engine might take a long prompt within the limits of its streams.
 
         Args:
-            question: The request.
+            placement_request: The request.
             unread: Minimum number of prompt tokens that any engine has to read.
         """
         seconds = unread / self.tokens_per_second
-        if self.beside_sensitive + seconds <= question.reading_allowance:
+        if self.pending_on_short_engines + seconds <= placement_request.prefill_allowance:
             return True
-        if self.budget is None or self.beside_tolerant <= 0.0:
+        if self.budget is None or self.pending_on_long_engines <= 0.0:
             return True
-        return self.beside_tolerant + counted_seconds(seconds, self.budget) <= self.budget
+        return self.pending_on_long_engines + counted_seconds(seconds, self.budget) <= self.budget
 
 
 @dataclass(frozen=True, slots=True)
-class NoRoom:
+class NotPlaced:
     """No engine can take the request in time now."""
 
     first_event_after: float | None
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/rate_limits.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/rate_limits.py
@@ -53,7 +53,7 @@
 @dataclass(slots=True)
 class _Limit:
     rate: float | None
-    named_at: Instant
+    observed_at: Instant
     tokens: float
     filled_at: Instant
     own: bool
@@ -108,7 +108,7 @@
         if rate is None:
             if known is None or known.rate is None:
                 return
-            if sent_at <= known.named_at or now - known.named_at < MINIMUM_HOLD_SECONDS:
+            if sent_at <= known.observed_at or now - known.observed_at < MINIMUM_HOLD_SECONDS:
                 return
         known = self._record(backend_id, rate, now, own=True)
         announced = known.announced_rate
@@ -116,21 +116,21 @@
             known.announced_rate = rate
             self.urgent_changes += 1
 
-    def hear(self, backend_id: str, notice: LimitNotice, now: Instant) -> None:
+    def update_from_peer(self, backend_id: str, notice: LimitNotice, now: Instant) -> None:
         """Record a limit observed by a peer, unless this entry knows a later observation."""
         known = self._by_id.get(backend_id)
-        named_at = now - notice.age
-        if known is not None and named_at <= known.named_at:
+        observed_at = now - notice.age
+        if known is not None and observed_at <= known.observed_at:
             return
         if known is not None or notice.rate is not None:
-            self._record(backend_id, notice.rate, named_at, own=False)
+            self._record(backend_id, notice.rate, observed_at, own=False)
 
     def notices(self, now: Instant) -> Mapping[str, LimitNotice]:
         """Return the limits that this entry has observed recently."""
         return {
-            key: LimitNotice(each.rate, now - each.named_at)
+            key: LimitNotice(each.rate, now - each.observed_at)
             for key, each in self._by_id.items()
-            if each.own and now - each.named_at < NOTICE_LIFETIME
+            if each.own and now - each.observed_at < NOTICE_LIFETIME
         }
 
     def admitting(
@@ -168,13 +168,13 @@
         self._by_id.pop(backend_id, None)
 
     def _record(
-        self, backend_id: str, rate: float | None, named_at: Instant, *, own: bool
+        self, backend_id: str, rate: float | None, observed_at: Instant, *, own: bool
     ) -> _Limit:
         known = self._by_id.get(backend_id)
         if known is None or known.rate is None:
-            known = self._by_id[backend_id] = _Limit(rate, named_at, 0.0, named_at, own)
+            known = self._by_id[backend_id] = _Limit(rate, observed_at, 0.0, observed_at, own)
         else:
-            known.rate, known.named_at, known.own = rate, named_at, own
+            known.rate, known.observed_at, known.own = rate, observed_at, own
         return known
 
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_ledger.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_ledger.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from .backend_list import BackendServer
-    from .backend_trust import BackendTrust
+    from .failure_tracker import FailureTracker
     from .placement import Placement
     from .routing_table import EngineTraits
     from .run_report import EndedRun, ReportedRun, RunReport
@@ -50,18 +50,18 @@
     def __init__(
         self,
         placement: Placement,
-        trust: BackendTrust,
+        failure_tracker: FailureTracker,
         engine: Callable[[str], tuple[BackendServer, EngineTraits] | None],
     ) -> None:
         """Create a ledger.
 
         Args:
             placement: Holds the engines' loads.
-            trust: Records the failures that other entries reported.
+            failure_tracker: Records the failures that other entries reported.
             engine: Returns a listed engine and its traits by id.
         """
         self._placement = placement
-        self._trust = trust
+        self._trust = failure_tracker
         self._engine = engine
         self._senders_by_pool: dict[tuple[str, str], _Sender] = {}
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_report.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/run_report.py
@@ -10,7 +10,7 @@
 
 from ragwortwing_policy.clock import Instant
 
-from .engine_load import PromptReading
+from .engine_load import PrefillPlan
 from .prompt_parts import Prompt
 
 WHOLE_INTERVAL = 1.0
@@ -24,7 +24,7 @@
     ticket: str
     backend_id: str
     prompt: Prompt
-    reading: PromptReading
+    reading: PrefillPlan
     urgency: int
     age: float = 0.0
     """Seconds since the request was sent."""
@@ -82,7 +82,7 @@
         self._whole_at: Instant = 0.0
 
     @property
-    def has_news(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether something has changed since the last report."""
         return bool(self._changed or self._ended)
 
@@ -133,7 +133,7 @@
             self._whole_at = now + WHOLE_INTERVAL
         return self._numbered(tickets, ended, now, whole=whole)
 
-    def whole_report(self, now: Instant) -> RunReport:
+    def full_report(self, now: Instant) -> RunReport:
         """Return all runs for a receiver without state; pending changes stay pending."""
         return self._numbered(list(self._runs_by_ticket), (), now, whole=True)
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
@@ -15,7 +15,7 @@
 PEER_SILENCE = 1.8
 """Seconds without a status after which a peer is not chosen. A status is sent every second."""
 
-SUSPECTED_FOR = 1.0
+SUSPICION_SECONDS = 1.0
 """Seconds for which an entry that did not answer is not chosen."""
 
 SETTLED_AFTER = 3.0
@@ -48,7 +48,7 @@
         >>> choice = SchedulerChoice("entry-1")
         >>> choice.scheduler("engines", now=0.0) is None
         True
-        >>> choice.hear(Candidate("entry-2", capacity=1.0, uptime=9.0, heard_at=0.0))
+        >>> choice.update_from_peer(Candidate("entry-2", capacity=1.0, uptime=9.0, heard_at=0.0))
         >>> choice.scheduler("engines", now=0.0)
         'entry-2'
         >>> choice.suspect("entry-2", now=0.0)
@@ -69,7 +69,7 @@
             self._ranked_by_pool.clear()
         self._own = own
 
-    def hear(self, peer: Candidate) -> None:
+    def update_from_peer(self, peer: Candidate) -> None:
         """Record the candidacy of a peer."""
         if peer.name not in self._peers_by_name:
             self._ranked_by_pool.clear()
@@ -82,7 +82,7 @@
 
     def suspect(self, peer: str, now: Instant) -> None:
         """Exclude a peer that did not answer, for SUSPECTED_FOR seconds."""
-        self._suspected_until_by_name[peer] = now + SUSPECTED_FOR
+        self._suspected_until_by_name[peer] = now + SUSPICION_SECONDS
         self._ranked_by_pool.clear()
 
     def answered(self, peer: str) -> None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/send_state.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/send_state.py
@@ -30,7 +30,7 @@
         >>> send = Send()
         >>> send.advance("write")
         >>> send.advance("lose")
-        >>> send.state, send.has_run_for_certain_not
+        >>> send.state, send.certainly_not_run
         (<SendState.AMBIGUOUS: 'ambiguous'>, False)
     """
 
@@ -48,7 +48,7 @@
         self.state = SendState(load_chart("send").next(self.state, trigger))
 
     @property
-    def has_run_for_certain_not(self) -> bool:
+    def certainly_not_run(self) -> bool:
         """Whether it is certain that the request has not run and will not run later."""
         return self.state in (SendState.NOT_SENT, SendState.DECLINED)
 
@@ -66,7 +66,7 @@
         """Return the history extended by one more failed send."""
         return SendHistory(
             sends=self.sends + (send.state is not SendState.NOT_SENT),
-            may_have_run=self.may_have_run or not send.has_run_for_certain_not,
+            may_have_run=self.may_have_run or not send.certainly_not_run,
         )
 
     def may_send_again(self, repetition: Repetition, maximum_sends: int) -> bool:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch.py
@@ -13,11 +13,11 @@
 from .chart import load_chart
 from .dispatch_decisions import (
     FINAL_REASONS,
-    Ask,
+    CancelAtAgent,
     Conclude,
     DispatchDecision,
+    RequestReservation,
     SendBody,
-    WithdrawFrom,
     best_refusal,
 )
 from .outcomes import (
@@ -30,7 +30,14 @@
     Unknown,
     UnknownReason,
 )
-from .retries import GiveUp, Interruption, Resume, RunAgain, decide_after_loss, decide_after_outcome
+from .retries import (
+    Interruption,
+    Resume,
+    RunAgain,
+    StopRetrying,
+    decide_after_loss,
+    decide_after_outcome,
+)
 from .routing import BackendKind
 from .run_latency import RunLatency
 
@@ -42,12 +49,12 @@
     from .routing import RouteQuery, Router
 
 __all__ = [
-    "Ask",
+    "RequestReservation",
     "Conclude",
     "Dispatch",
     "DispatchDecision",
     "SendBody",
-    "WithdrawFrom",
+    "CancelAtAgent",
     "best_refusal",
 ]
 
@@ -134,7 +141,7 @@
     def on_granted(self, agent_id: str, now: Instant) -> list[DispatchDecision]:
         """Send the body to the agent that grants first, and withdraw from all others."""
         if self._state != "asking" or agent_id not in self._pending:
-            return [] if agent_id == self._running_agent else [WithdrawFrom(agent_id)]
+            return [] if agent_id == self._running_agent else [CancelAtAgent(agent_id)]
         del self._pending[agent_id]
         decisions: list[DispatchDecision] = [SendBody(agent_id, resumed=self._bytes_delivered)]
         decisions.extend(self._withdraw_pending())
@@ -205,7 +212,7 @@
             outcome = Unknown(UnknownReason.TIMEOUT)
             if self._query.idempotent:
                 outcome = Failed(FailedReason.CALLER_GONE)
-                decisions.append(WithdrawFrom(self._running_agent))
+                decisions.append(CancelAtAgent(self._running_agent))
             self._release(now)
         return decisions + self._conclude(outcome)
 
@@ -262,7 +269,7 @@
         """
         if len(self._asked) >= MAXIMUM_AGENTS_ASKED:
             return []
-        agent_ids = self._router.prompt_agents(self._next_query(), WIDEN_COUNT, now)
+        agent_ids = self._router.low_wait_agents(self._next_query(), WIDEN_COUNT, now)
         decisions = self._ask_agents(agent_ids, now)
         self._next_ask_at = now + WIDEN_AFTER.total_seconds()
         return decisions
@@ -273,7 +280,7 @@
             self._asked.add(agent_id)
         if self._next_ask_at is None:
             self._next_ask_at = now + WIDEN_AFTER.total_seconds()
-        return [Ask(each) for each in agent_ids]
+        return [RequestReservation(each) for each in agent_ids]
 
     def _refused_by_all(self, now: Instant) -> list[DispatchDecision]:
         if self._bytes_delivered and now < self._deadline:
@@ -303,12 +310,12 @@
 
     def _apply_decision(
         self,
-        decision: RunAgain | Resume | GiveUp,
+        decision: RunAgain | Resume | StopRetrying,
         agent_id: str,
         now: Instant,
         refusals: Sequence[NotRun] = (),
     ) -> list[DispatchDecision]:
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, StopRetrying):
             outcome = decision.outcome
             return self._conclude(
                 self._outcome_of_refusal(outcome) if isinstance(outcome, NotRun) else outcome
@@ -339,7 +346,7 @@
         affordable = self._bytes_delivered or self._budget.available(now) >= 1
         if not affordable or not self._has_alternative(running_agent, now):
             return []
-        return [WithdrawFrom(running_agent), *self._handle_running_agent_lost(now)]
+        return [CancelAtAgent(running_agent), *self._handle_running_agent_lost(now)]
 
     @property
     def _is_movable(self) -> bool:
@@ -358,14 +365,14 @@
         self._release(now)
         if not self._query.idempotent:
             return self._conclude(Unknown(UnknownReason.TIMEOUT))
-        return [WithdrawFrom(running_agent), *self._conclude(Failed(FailedReason.DEADLINE))]
+        return [CancelAtAgent(running_agent), *self._conclude(Failed(FailedReason.DEADLINE))]
 
     def _withdraw_pending(self) -> list[DispatchDecision]:
         pending = list(self._pending)
         self._pending.clear()
         self._deferred.clear()
         self._next_ask_at = None
-        return [WithdrawFrom(each) for each in pending]
+        return [CancelAtAgent(each) for each in pending]
 
     def _release(self, now: Instant) -> None:
         if self._running_agent is not None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch_decisions.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/dispatch_decisions.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestReservation:
     """Send a reservation request to an agent."""
 
     agent_id: str
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WithdrawFrom:
+class CancelAtAgent:
     """Cancel the reservation or the run at an agent."""
 
     agent_id: str
@@ -61,7 +61,7 @@
     outcome: Outcome
 
 
-DispatchDecision = Ask | SendBody | WithdrawFrom | Conclude
+DispatchDecision = RequestReservation | SendBody | CancelAtAgent | Conclude
 
 
 def best_refusal(refusals: list[NotRun]) -> NotRun:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/candidates.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/candidates.py
@@ -24,7 +24,7 @@
 
     Example:
         >>> candidates = DutyCandidates("entry-1")
-        >>> candidates.hear("entry-2", can_hold=True, now=0.0)
+        >>> candidates.update_from_peer("entry-2", can_hold=True, now=0.0)
         >>> candidates.ranked("usage", now=1.0)
         ('entry-2',)
         >>> candidates.offer(can_hold=True)
@@ -51,7 +51,7 @@
         """Log offset of the newest known record of each duty."""
         return self._offset_by_duty
 
-    def knows_record(self, duty: str, offset: int) -> None:
+    def update_record_offset(self, duty: str, offset: int) -> None:
         """Record the log offset of a duty's newest record."""
         if offset >= 0:
             self._offset_by_duty[duty] = offset
@@ -60,7 +60,7 @@
         """Set whether this entry can hold duties."""
         self._can_hold = can_hold
 
-    def hear(self, peer: str, *, can_hold: bool, now: Instant) -> None:
+    def update_from_peer(self, peer: str, *, can_hold: bool, now: Instant) -> None:
         """Process a peer's status."""
         self._heard_at_by_peer[peer] = now
         if can_hold:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/duty_record.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/duty_record.py
@@ -32,7 +32,7 @@
     """Whether the holder has released the duty."""
     format: int = FORMAT
 
-    def is_of(self, holder: str, life: int) -> bool:
+    def is_held_by(self, holder: str, life: int) -> bool:
         """Return whether the record names a process as the current holder."""
         return (self.holder, self.life) == (holder, life) and not self.released
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/fleet_time.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/fleet_time.py
@@ -26,8 +26,8 @@
         >>> clock = ManualClock()
         >>> fleet = FleetTime(clock)
         >>> true = fleet.unix_time()
-        >>> fleet.hear("entry-2", true + 60.0)
-        >>> fleet.hear("entry-3", true)
+        >>> fleet.update_from_peer("entry-2", true + 60.0)
+        >>> fleet.update_from_peer("entry-3", true)
         >>> fleet.unix_time() == true
         True
     """
@@ -38,13 +38,13 @@
         self._offset = 0.0
         self._computed_at: Instant | None = None
 
-    def hear(self, peer: str, unix_time: float) -> None:
+    def update_from_peer(self, peer: str, unix_time: float) -> None:
         """Record a reading of a peer's wall clock, in seconds of Unix time."""
         now = self._clock.boot_time()
         self._reading_by_peer[peer] = (unix_time - now, now)
         self._computed_at = None
 
-    def own_reading(self) -> float:
+    def local_unix_time(self) -> float:
         """Return the reading of this entry's own wall clock."""
         return self._clock.utc_now().timestamp()
 
@@ -57,7 +57,7 @@
         return now + self._offset
 
     def _median_offset(self, now: Instant) -> float:
-        offsets = [self.own_reading() - now]
+        offsets = [self.local_unix_time() - now]
         offsets += [
             offset for offset, at in self._reading_by_peer.values() if now - at < READING_LIFETIME
         ]
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/lease.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/lease.py
@@ -128,7 +128,7 @@
         """Offset of the newest known record; -1 if none is known."""
         return self._log.offset
 
-    def heard_of(self, offset: int, now: Instant) -> None:
+    def record_peer_offset(self, offset: int, now: Instant) -> None:
         """Record that a peer knows a record: its lease began before now, whenever it is read."""
         self._heard_at_by_offset.setdefault(offset, now)
         while len(self._heard_at_by_offset) > OFFSETS_KEPT:
@@ -141,7 +141,7 @@
         if self._read_at is None or log.offset != self._log.offset:
             self._read_at = self._heard_at_by_offset.get(log.offset, now)
         self._log = log
-        if log.record is None or not log.record.is_of(self._holder.name, self._holder.life):
+        if log.record is None or not log.record.is_held_by(self._holder.name, self._holder.life):
             self._advance("read_other")
         else:
             self._resolve_own_append(log)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_counts.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_counts.py
@@ -73,7 +73,7 @@
         """Return the last window whose counts are complete."""
         return int((now - CLOSE_AFTER) // self._window) - 1
 
-    def has_news(self, now: float) -> bool:
+    def has_changes(self, now: float) -> bool:
         """Return whether something has changed since the last report."""
         return bool(self._changed) or self.closed_through(now) > self._reported_through
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_windows.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/duties/usage_windows.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UsageTerms:
+class UsageReportPolicy:
     """The operator's requirements for usage reports."""
 
     window: timedelta
@@ -79,7 +79,7 @@
 class UsageWindows:
     """Decides which windows to fix and which to send next."""
 
-    def __init__(self, terms: UsageTerms, ledger: UsageLedger) -> None:
+    def __init__(self, terms: UsageReportPolicy, ledger: UsageLedger) -> None:
         self._terms = terms
         self._ledger = ledger
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/ejection.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/ejection.py
@@ -96,7 +96,7 @@
     progressed_at: Instant = 0.0
     open_until: Instant = 0.0
     ejections: int = 0
-    good_probes: int = 0
+    successful_probes: int = 0
     probe_until: Instant = 0.0
 
 
@@ -172,7 +172,7 @@
             return self._chart.initial
         if circuit.state == "open" and now >= circuit.open_until:
             circuit.state = self._chart.next(circuit.state, "probe")
-            circuit.good_probes = 0
+            circuit.successful_probes = 0
             circuit.probe_until = 0.0
             circuit.progressed_at = now
         elif circuit.state != "open" and self._is_silent(circuit, now):
@@ -250,8 +250,8 @@
         if slow:
             self._eject(circuit, others, now)
             return
-        circuit.good_probes += 1
-        if circuit.good_probes >= self._settings.probes:
+        circuit.successful_probes += 1
+        if circuit.successful_probes >= self._settings.probes:
             self._recover(circuit)
 
     def _recover(self, circuit: _Circuit) -> None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/engine_state.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/engine_state.py
@@ -78,7 +78,7 @@
                 reservation.resumed_tokens,
                 reservation.expected_tokens,
             ),
-            begun=reservation.resumed_tokens > 0,
+            has_started=reservation.resumed_tokens > 0,
         )
 
     def wait_in_tier(self, tier: int, ahead: float, now: Instant) -> float:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/fair_queue.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/fair_queue.py
@@ -36,7 +36,7 @@
     """When the request arrived in the system, possibly first at another agent."""
     work: float
     """Expected number of tokens still to generate."""
-    begun: bool = False
+    has_started: bool = False
     """Whether part of the answer was already generated, so that the request must not be refused."""
     protected: bool = False
     """Whether its next run is protected from preemption until it has made progress."""
@@ -178,7 +178,7 @@
     def add(self, request: QueuedRequest) -> None:
         """Queue a request."""
         self.count += 1
-        if request.begun:
+        if request.has_started:
             self.begun_by_id[request.request_id] = request
             return
         account = request.reservation.account
@@ -240,7 +240,7 @@
     def take(self, request: QueuedRequest) -> None:
         """Remove a request that gets a slot, and charge its class and account for its work."""
         queue = self.queue_by_class[request.request_class.name]
-        if not request.begun:
+        if not request.has_started:
             queue.share.charge(request.reservation.account, request.charged_work)
         self.share.charge(request.request_class.name, request.charged_work)
         self.remove(request)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/membership.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/membership.py
@@ -124,7 +124,7 @@
             return ()
         return self._fire(member, "disconnect")
 
-    def said_leaving(self, agent_id: str) -> tuple[StateChange, ...]:
+    def leaving_announced(self, agent_id: str) -> tuple[StateChange, ...]:
         """Handle an agent's announcement that it is leaving, which is final."""
         for member in self._members_by_address.values():
             if member.agent_id == agent_id:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/order_claims.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/order_claims.py
@@ -312,7 +312,7 @@
             return NotRun(NotRunReason.KEY_OUT_OF_WINDOW)
         return None
 
-    def judge(self, claim: Claim) -> ClaimVerdict | None:
+    def verdict_on(self, claim: Claim) -> ClaimVerdict | None:
         """Return the verdict on a claim, or None if its key is not claimed in the log."""
         record = self._records_by_key.get(claim.order_key)
         if record is None:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/preemption.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/preemption.py
@@ -57,8 +57,8 @@
             self._at_risk.discard(request)
             self._overdue.add(request)
         return [
-            *self._preempt_for_marked(self._overdue, spare_protected=False, now=now),
-            *self._preempt_for_marked(self._at_risk, spare_protected=True, now=now),
+            *self._preempt_for_marked(self._overdue, exclude_protected=False, now=now),
+            *self._preempt_for_marked(self._at_risk, exclude_protected=True, now=now),
         ]
 
     def preempt_for_refusal(self, tier: int, now: Instant) -> list[Preempt]:
@@ -69,7 +69,7 @@
         """
         missing = self._state.queue.count_through(tier) + 1 - self._state.slots.preempting()
         return _mark_preempting(
-            self._state.slots.victims(tier, now, spare_protected=False)[:missing]
+            self._state.slots.victims(tier, now, exclude_protected=False)[:missing]
         )
 
     def preempt_above_limit(self, now: Instant) -> list[Preempt]:
@@ -79,17 +79,19 @@
         if excess <= 0 or not slots.running_by_id:
             return []
         most_urgent = min(each.tier for each in slots.running_by_id.values())
-        return _mark_preempting(slots.victims(most_urgent, now, spare_protected=True)[:excess])
+        return _mark_preempting(slots.victims(most_urgent, now, exclude_protected=True)[:excess])
 
     def _preempt_for_marked(
-        self, marked: MarkedRequests, spare_protected: bool, now: Instant
+        self, marked: MarkedRequests, exclude_protected: bool, now: Instant
     ) -> list[Preempt]:
         preemptions: list[Preempt] = []
         slots = self._state.slots
         for tier in marked.tiers():
             missing = marked.count_through(tier) - slots.preempting()
             if missing > 0:
-                preemptions += _mark_preempting(slots.victims(tier, now, spare_protected)[:missing])
+                preemptions += _mark_preempting(
+                    slots.victims(tier, now, exclude_protected)[:missing]
+                )
         return preemptions
 
     def _wait_without_preemption(self, request: QueuedRequest, now: Instant) -> float:
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/retries.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/retries.py
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class StopRetrying:
     """Conclude with the given outcome."""
 
     outcome: Outcome
@@ -110,17 +110,17 @@
 
 def decide_after_loss(
     interruption: Interruption, budget: RetryBudget, now: Instant
-) -> RunAgain | Resume | GiveUp:
+) -> RunAgain | Resume | StopRetrying:
     """Decide how to continue after an agent or backend server was lost with a submitted request.
 
     A call that is not idempotent is never repeated. A model's answer that has begun is resumed. A
     resume repeats no output, so it is limited by the run count and not charged to the budget.
     """
     if not interruption.idempotent:
-        return GiveUp(Unknown(UnknownReason.BACKEND_LOST))
+        return StopRetrying(Unknown(UnknownReason.BACKEND_LOST))
     if interruption.bytes_delivered:
         return _decide_resume(interruption, now)
-    give_up = GiveUp(Unknown(UnknownReason.BACKEND_LOST))
+    give_up = StopRetrying(Unknown(UnknownReason.BACKEND_LOST))
     if interruption.runs >= MAXIMUM_RUNS or now >= interruption.deadline:
         return give_up
     return RunAgain() if budget.try_spend(now) else give_up
@@ -128,26 +128,26 @@
 
 def decide_after_outcome(
     outcome: Outcome, interruption: Interruption, budget: RetryBudget, now: Instant
-) -> RunAgain | Resume | GiveUp:
+) -> RunAgain | Resume | StopRetrying:
     """Decide how to continue after an agent reported the final outcome of a submitted request.
 
     Agents never retry, so that a request is not retried at two levels. With `NotRun` the agent
     guarantees that the request did not start, so other agents may be asked.
     """
     if isinstance(outcome, NotRun):
-        return RunAgain() if now < interruption.deadline else GiveUp(outcome)
+        return RunAgain() if now < interruption.deadline else StopRetrying(outcome)
     if isinstance(outcome, Unknown) or _is_lost_mid_stream(outcome):
         decision = decide_after_loss(interruption, budget, now)
-        return GiveUp(outcome) if isinstance(decision, GiveUp) else decision
-    return GiveUp(outcome)
+        return StopRetrying(outcome) if isinstance(decision, StopRetrying) else decision
+    return StopRetrying(outcome)
 
 
 def _is_lost_mid_stream(outcome: Outcome) -> bool:
     return isinstance(outcome, Failed) and outcome.reason is FailedReason.BACKEND_LOST
 
 
-def _decide_resume(interruption: Interruption, now: Instant) -> Resume | GiveUp:
+def _decide_resume(interruption: Interruption, now: Instant) -> Resume | StopRetrying:
     resumable = interruption.kind is BackendKind.ENGINE and interruption.runs < MAXIMUM_RUNS
     if not resumable:
-        return GiveUp(Failed(FailedReason.BACKEND_LOST))
+        return StopRetrying(Failed(FailedReason.BACKEND_LOST))
     return Resume(max(interruption.deadline, now + RESUME_WINDOW.total_seconds()))
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/routing.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/routing.py
@@ -206,7 +206,7 @@
         head_start = HEAD_START if ranked[0].has_free_slot else timedelta(0)
         return Choice(tuple(each.view.agent_id for each in ranked[:count]), head_start)
 
-    def prompt_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
+    def low_wait_agents(self, query: RouteQuery, count: int, now: Instant) -> tuple[str, ...]:
         """Return up to `count` agents that are expected to have a slot for the most urgent tier."""
         closed, _ = self._split_by_circuit(self._eligible(query), query, now)
         low_wait = [each for each in closed if each.view.load.predicted_wait <= LOW_WAIT]
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/running_requests.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/running_requests.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HeldSlot:
+class SlotReservation:
     """A slot reserved for a request until its body arrives."""
 
     request: QueuedRequest
@@ -76,7 +76,7 @@
     """Occupied slots: reserved for a body, or running."""
 
     def __init__(self) -> None:
-        self.held_by_id: dict[str, HeldSlot] = {}
+        self.held_by_id: dict[str, SlotReservation] = {}
         self.running_by_id: dict[str, RunningRequest] = {}
 
     def __len__(self) -> int:
@@ -85,7 +85,7 @@
     def __contains__(self, request_id: object) -> bool:
         return request_id in self.held_by_id or request_id in self.running_by_id
 
-    def expire(self, now: Instant) -> list[HeldSlot]:
+    def expire(self, now: Instant) -> list[SlotReservation]:
         """Release and return the held slots whose body did not arrive in time."""
         expired = [each for each in self.held_by_id.values() if each.expires_at <= now]
         for slot in expired:
@@ -96,7 +96,7 @@
         """Yield the running requests of a tier and more urgent ones."""
         return (each for each in self.running_by_id.values() if each.tier <= tier)
 
-    def held_through(self, tier: int) -> Iterator[HeldSlot]:
+    def held_through(self, tier: int) -> Iterator[SlotReservation]:
         """Yield the held slots of a tier and more urgent ones."""
         return (each for each in self.held_by_id.values() if each.request.tier <= tier)
 
@@ -109,7 +109,7 @@
         """Return the number of slots that are being freed by preemption."""
         return sum(each.preempting for each in self.running_by_id.values())
 
-    def victims(self, tier: int, now: Instant, spare_protected: bool) -> list[RunningRequest]:
+    def victims(self, tier: int, now: Instant, exclude_protected: bool) -> list[RunningRequest]:
         """Return the runs that may be preempted for a tier, in order of preference.
 
         The least urgent tier comes first. Within a tier, runs with the fewest prompt and answer
@@ -120,7 +120,7 @@
             for each in self.running_by_id.values()
             if each.tier > tier
             and not each.preempting
-            and not (spare_protected and each.is_protected(now))
+            and not (exclude_protected and each.is_protected(now))
         ]
         return sorted(candidates, key=_preemption_order)
 
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/scheduler.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/scheduler.py
@@ -13,7 +13,7 @@
 from .outcomes import NotRunReason
 from .preemption import Preemption
 from .reservations import Grant, LoadReport, Refuse, Requeued
-from .running_requests import HeldSlot, RunningRequest
+from .running_requests import RunningRequest, SlotReservation
 
 if TYPE_CHECKING:
     from .clock import Instant
@@ -62,7 +62,7 @@
         decisions: list[SchedulerDecision] = []
         for request in list(self._queue):
             self._dequeue(request.request_id)
-            if request.begun or self._state.admits(request.reservation):
+            if request.has_started or self._state.admits(request.reservation):
                 self._enqueue(self._reclassified(request), now)
             else:
                 decisions.append(_shed(request.reservation))
@@ -129,7 +129,7 @@
             return []
         resumed = replace(running.reservation, resumed_tokens=running.age)
         request = self._state.queued_request(resumed, now, running.request_class)
-        request.begun = True
+        request.has_started = True
         request.protected = True
         self._enqueue(request, now)
         return [Requeued(request_id), *self._dispatch(now)]
@@ -156,7 +156,7 @@
     def drain(self, now: Instant) -> list[SchedulerDecision]:
         """Refuse queued and new requests; requests that have begun continue."""
         self._draining = True
-        waiting = [each.request_id for each in self._queue if not each.begun]
+        waiting = [each.request_id for each in self._queue if not each.has_started]
         for request_id in waiting:
             self._dequeue(request_id)
         return [Refuse(each, NotRunReason.DRAINING) for each in waiting]
@@ -204,13 +204,13 @@
         return aged
 
     def _can_preempt_for(self, request: QueuedRequest, now: Instant) -> bool:
-        return bool(self._slots.victims(request.tier, now, spare_protected=False))
+        return bool(self._slots.victims(request.tier, now, exclude_protected=False))
 
     def _grant(self, request: QueuedRequest, now: Instant) -> Grant:
         self._queue.take(request)
         self._untrack(request)
         expires_at = now + GRANT_LIFETIME.total_seconds()
-        self._slots.held_by_id[request.request_id] = HeldSlot(request, expires_at)
+        self._slots.held_by_id[request.request_id] = SlotReservation(request, expires_at)
         self._state.waits.observe_departure(granted=True)
         return Grant(request.request_id, expires_at)
 
@@ -229,8 +229,8 @@
         self._preemption.on_left_queue(request)
         self._aging.on_left_queue(request)
 
-    def _requeue_expired(self, slot: HeldSlot, now: Instant) -> None:
-        if slot.request.begun:
+    def _requeue_expired(self, slot: SlotReservation, now: Instant) -> None:
+        if slot.request.has_started:
             self._enqueue(slot.request, now)
 
     def _refuse_infeasible(self, now: Instant) -> list[SchedulerDecision]:
--- a/packages/ragwortwing-policy/tests/direct/test_feed_watch.py
+++ b/packages/ragwortwing-policy/tests/direct/test_feed_watch.py
@@ -28,7 +28,9 @@
     for name, watch in watches.items():
         for peer, other in watches.items():
             if peer != name and name not in silent:
-                other.told(name, watch.positions_by_feed, now, hears_store=watch.hears_store(now))
+                other.peer_reported(
+                    name, watch.positions_by_feed, now, hears_store=watch.hears_store(now)
+                )
 
 
 def watchers(watches: dict[str, FeedWatch], now: float) -> set[str]:
@@ -54,7 +56,7 @@
 def test_takeover_delays_differ_by_rank() -> None:
     """Guards against reads by all entries at once when the watchers fail."""
     watches = fleet()
-    delays = sorted(watch.take_over_delay(0.1) for watch in watches.values())
+    delays = sorted(watch.takeover_delay(0.1) for watch in watches.values())
     assert delays[0] == 0.0
     assert len(set(delays)) == len(NAMES)
 
@@ -100,7 +102,7 @@
     watches = fleet()
     one, other = (watches[name] for name in NAMES[:2])
     one.reached("operator", 7, 1.0)
-    other.told(NAMES[0], one.positions_by_feed, 1.0, hears_store=True)
+    other.peer_reported(NAMES[0], one.positions_by_feed, 1.0, hears_store=True)
     assert not other.is_behind("operator", 1.1)
     assert other.is_behind("operator", 1.2)
     other.reached("operator", 7, 1.3)
@@ -111,7 +113,7 @@
     """Guards against treating an expired registration as a removal. An entry whose read waited
     through the whole outage learns of the outage only from its peers."""
     watch = FeedWatch("sleeper")
-    watch.told("noticed", {}, 10.0, hears_store=True, unsure_for=2.0)
+    watch.peer_reported("noticed", {}, 10.0, hears_store=True, unsure_for=2.0)
     assert watch.unsure_for(11.5) == 0.5
     assert watch.unsure_for(12.5) == 0.0
 
@@ -123,9 +125,11 @@
     watches = fleet()
     for tick in range(1, 8):
         exchange_statuses(watches, tick / 2)
-    limits = sorted(watch.retry_limit(3.5) for watch in watches.values())
+    limits = sorted(watch.maximum_retry_delay(3.5) for watch in watches.values())
     assert limits == [PROBE_RETRY] * WATCHERS + [IDLE_RETRY] * (len(NAMES) - WATCHERS)
-    prober = next(name for name, watch in watches.items() if watch.retry_limit(3.5) == PROBE_RETRY)
+    prober = next(
+        name for name, watch in watches.items() if watch.maximum_retry_delay(3.5) == PROBE_RETRY
+    )
     watches[prober].reached("operator", 4, 3.6)
     exchange_statuses(watches, 3.7)
     assert all(watch.regained_since(3.5) for name, watch in watches.items() if name != prober)
@@ -140,12 +144,12 @@
             if name != refused:
                 watch.reached("operator", 4, tick / 2)
         exchange_statuses(watches, tick / 2)
-    assert watches[refused].retry_limit(3.5) == REJECTED_RETRY
+    assert watches[refused].maximum_retry_delay(3.5) == REJECTED_RETRY
     assert not watches[refused].regained_since(1.0)
 
 
 def test_a_single_entry_probes_the_store() -> None:
-    assert FeedWatch("alone").retry_limit(100.0) == PROBE_RETRY
+    assert FeedWatch("alone").maximum_retry_delay(100.0) == PROBE_RETRY
 
 
 def test_a_partition_of_one_entry_is_no_outage() -> None:
@@ -159,7 +163,7 @@
             if name != cut:
                 watch.reached("operator", 4, tick / 2)
         exchange_statuses(watches, tick / 2)
-    assert not watches[cut].was_for_all(lost_at=0.5, now=6.0)
+    assert not watches[cut].may_be_fleet_wide(lost_at=0.5, now=6.0)
 
 
 def test_an_outage_is_recognized_by_the_last_entry_to_recover() -> None:
@@ -170,10 +174,10 @@
     for tick in range(1, 13):
         exchange_statuses(watches, tick / 2)
     first, *others = NAMES
-    assert watches[first].was_for_all(lost_at=0.5, now=6.1)
+    assert watches[first].may_be_fleet_wide(lost_at=0.5, now=6.1)
     watches[first].reached("operator", 4, 6.1)
     exchange_statuses(watches, 6.2)
-    assert all(watches[name].was_for_all(lost_at=0.5, now=6.3) for name in others)
+    assert all(watches[name].may_be_fleet_wide(lost_at=0.5, now=6.3) for name in others)
 
 
 def test_a_fully_isolated_entry_infers_no_outage() -> None:
@@ -188,9 +192,9 @@
                 watch.reached("operator", 4, now)
                 for peer, other in watches.items():
                     if peer not in (name, cut):
-                        other.told(name, {}, now, hears_store=True)
-    watches[cut].told(NAMES[1], {}, 8.4, hears_store=True)
-    assert not watches[cut].was_for_all(lost_at=2.0, now=8.5)
+                        other.peer_reported(name, {}, now, hears_store=True)
+    watches[cut].peer_reported(NAMES[1], {}, 8.4, hears_store=True)
+    assert not watches[cut].may_be_fleet_wide(lost_at=2.0, now=8.5)
 
 
 def test_a_gap_between_two_watchers_is_no_outage() -> None:
@@ -198,27 +202,27 @@
     watch = FeedWatch("entry-1")
     for tick in range(20):
         now = tick / 2
-        watch.told("before", {}, now, hears_store=now < 4.0)
-        watch.told("after", {}, now, hears_store=now > 6.0)
-    assert not watch.was_for_all(lost_at=1.0, now=9.6)
+        watch.peer_reported("before", {}, now, hears_store=now < 4.0)
+        watch.peer_reported("after", {}, now, hears_store=now > 6.0)
+    assert not watch.may_be_fleet_wide(lost_at=1.0, now=9.6)
 
 
 def test_a_short_outage_counts_as_fleet_wide() -> None:
     watches = fleet()
-    assert watches[NAMES[0]].was_for_all(lost_at=0.5, now=2.0)
+    assert watches[NAMES[0]].may_be_fleet_wide(lost_at=0.5, now=2.0)
 
 
 def test_uncertainty_of_an_isolated_entry_is_ignored() -> None:
     """Guards against uncertainty spread by an entry that returns from a partition. The others
     reached the store all the time, so a server that leaves now must get no more requests."""
     watch = FeedWatch("entry-1")
-    watch.told("entry-2", {}, 0.0, hears_store=True)
-    watch.told("entry-2", {}, 1.0, hears_store=True, unsure_for=2.5)
+    watch.peer_reported("entry-2", {}, 0.0, hears_store=True)
+    watch.peer_reported("entry-2", {}, 1.0, hears_store=True, unsure_for=2.5)
     assert watch.unsure_for(1.0) == 2.5
-    watch.told("entry-3", {}, 0.0, hears_store=True)
-    watch.told("entry-3", {}, 6.0, hears_store=False, unsure_for=2.5)
+    watch.peer_reported("entry-3", {}, 0.0, hears_store=True)
+    watch.peer_reported("entry-3", {}, 6.0, hears_store=False, unsure_for=2.5)
     assert watch.unsure_for(6.0) == 0.0
-    watch.told("entry-3", {}, 6.1, hears_store=True, unsure_for=2.4)
+    watch.peer_reported("entry-3", {}, 6.1, hears_store=True, unsure_for=2.4)
     assert watch.unsure_for(6.1) == 0.0
 
 
@@ -229,7 +233,7 @@
     watch = FeedWatch("entry-1")
     for tick in range(20):
         now = tick / 2
-        watch.told("watcher", {}, now, hears_store=True)
-        watch.told("waits-long", {}, now, hears_store=tick % 5 == 0)
+        watch.peer_reported("watcher", {}, now, hears_store=True)
+        watch.peer_reported("waits-long", {}, now, hears_store=tick % 5 == 0)
     assert not watch.regained_since(0.6)
-    assert not watch.was_for_all(lost_at=1.0, now=9.6)
+    assert not watch.may_be_fleet_wide(lost_at=1.0, now=9.6)
--- a/packages/ragwortwing-policy/tests/direct/test_peer_status.py
+++ b/packages/ragwortwing-policy/tests/direct/test_peer_status.py
@@ -4,7 +4,7 @@
 
 from ragwortwing_policy.clock import ManualClock
 from ragwortwing_policy.direct.feed_watch import FeedWatch
-from ragwortwing_policy.direct.peer_status import STATUS_INTERVAL, StatusBook
+from ragwortwing_policy.direct.peer_status import STATUS_INTERVAL, StatusExchange
 from ragwortwing_policy.direct.scheduler_choice import SchedulerChoice
 from ragwortwing_policy.duties.candidates import DutyCandidates
 from ragwortwing_policy.duties.fleet_time import FleetTime
@@ -16,7 +16,7 @@
         self.choice = SchedulerChoice(name)
         self.candidates = DutyCandidates(name)
         clock = FleetTime(ManualClock())
-        self.book = StatusBook(name, capacity, self.watch, self.choice, self.candidates, clock)
+        self.book = StatusExchange(name, capacity, self.watch, self.choice, self.candidates, clock)
 
 
 def test_a_status_is_sent_each_second() -> None:
@@ -29,12 +29,12 @@
 def test_a_stop_is_announced_at_once() -> None:
     """Guards against a scheduler that has stopped and is asked for another second."""
     leaving, other = Entry("a", capacity=9.0), Entry("b")
-    leaving.book.schedules(0.0, can_schedule=True)
+    leaving.book.update_can_schedule(0.0, can_schedule=True)
     status = leaving.book.due(0.0)
     assert status is not None
     other.book.take(status, 0.0)
     assert other.choice.scheduler("engines", 0.0) == "a"
-    leaving.book.schedules(0.2, can_schedule=False)
+    leaving.book.update_can_schedule(0.2, can_schedule=False)
     status = leaving.book.due(0.2)
     assert status is not None
     other.book.take(status, 0.2)
@@ -65,7 +65,7 @@
 
 def test_an_entry_ignores_its_own_status() -> None:
     entry = Entry("a")
-    entry.book.schedules(0.0, can_schedule=True)
+    entry.book.update_can_schedule(0.0, can_schedule=True)
     entry.book.take(entry.book.status(0.0), 0.0)
-    entry.book.schedules(0.1, can_schedule=False)
+    entry.book.update_can_schedule(0.1, can_schedule=False)
     assert entry.choice.scheduler("engines", 0.1) is None
--- a/packages/ragwortwing-policy/tests/direct/test_placement.py
+++ b/packages/ragwortwing-policy/tests/direct/test_placement.py
@@ -10,11 +10,11 @@
 from ragwortwing_policy.direct.engine_load import (
     INITIAL_TOKENS_PER_SECOND,
     EngineLoad,
-    PromptReading,
+    PrefillPlan,
 )
 from ragwortwing_policy.direct.lanes import MAXIMUM_SHORT_PREFILL_SHARE, Lanes
 from ragwortwing_policy.direct.placement import Placement
-from ragwortwing_policy.direct.placement_question import NoRoom, Placed, PlacementQuestion
+from ragwortwing_policy.direct.placement_request import NotPlaced, Placed, PlacementRequest
 from ragwortwing_policy.direct.prefill_budget import MINIMUM_FRACTION
 from ragwortwing_policy.direct.prompt_parts import Prompt, PromptPart
 
@@ -35,14 +35,14 @@
         self.placement = Placement()
         self._tickets = 0
 
-    def ask(self, asked: Prompt, now: float, target: float = 0.6) -> Placed | NoRoom:
-        question = PlacementQuestion(SERVICE, asked, target)
-        self.placement.count_arrival(question, now)
-        found = self.placement.place(question, self.engines, self.traits, now)
+    def ask(self, asked: Prompt, now: float, target: float = 0.6) -> Placed | NotPlaced:
+        placement_request = PlacementRequest(SERVICE, asked, target)
+        self.placement.count_arrival(placement_request, now)
+        found = self.placement.place(placement_request, self.engines, self.traits, now)
         if isinstance(found, Placed):
             self._tickets += 1
             load = self.placement.load(found.backend, self.traits)
-            load.begin(str(self._tickets), asked, found.reading, now, question.urgency)
+            load.begin(str(self._tickets), asked, found.reading, now, placement_request.urgency)
         return found
 
     def placed(self, asked: Prompt, now: float, target: float = 0.6) -> str:
@@ -55,7 +55,7 @@
     """Add a prompt of another entry to the engine's pending prefill."""
     tokens = round(seconds * load.tokens_per_second)
     other = Prompt("m", (), tokens, 0)
-    load.begin(f"another-{load.running}", other, PromptReading(tokens), 0.0, urgency=0)
+    load.begin(f"another-{load.running}", other, PrefillPlan(tokens), 0.0, urgency=0)
 
 
 def test_chats_and_drafts_use_separate_engines() -> None:
@@ -93,11 +93,11 @@
 
 def test_a_draft_waits_if_it_would_be_late_on_every_engine() -> None:
     fixture = EngineFixture(count=2)
-    found: list[Placed | NoRoom] = [
+    found: list[Placed | NotPlaced] = [
         fixture.ask(prompt(9_000, f"s-{number}"), 0.0) for number in range(8)
     ]
     assert isinstance(found[0], Placed)
-    assert isinstance(found[-1], NoRoom)
+    assert isinstance(found[-1], NotPlaced)
 
 
 def test_chats_use_engines_for_drafts_before_they_wait() -> None:
@@ -109,7 +109,7 @@
 
 
 def test_a_request_larger_than_an_engine_finds_no_room() -> None:
-    assert isinstance(EngineFixture().ask(prompt(200_000), 0.0), NoRoom)
+    assert isinstance(EngineFixture().ask(prompt(200_000), 0.0), NotPlaced)
 
 
 @pytest.mark.parametrize("engine_count", [1, 2, 6, 24])
@@ -165,13 +165,13 @@
     fixture = EngineFixture(count=4, traits=FETCHING)
     first = fixture.ask(shared_catalogue_prompt("a"), 0.0)
     assert isinstance(first, Placed)
-    assert first.reading == PromptReading(7_000)
+    assert first.reading == PrefillPlan(7_000)
     fixture.placement.load(first.backend, FETCHING).first_event("1", 0.0)
     make_busy(fixture.placement.load(first.backend, FETCHING), 1.0)
     second = fixture.ask(shared_catalogue_prompt("b"), 0.0)
     assert isinstance(second, Placed)
     assert second.backend != first.backend
-    assert second.reading == PromptReading(3_000, first.backend, 0.004)
+    assert second.reading == PrefillPlan(3_000, first.backend, 0.004)
 
 
 def test_unread_parts_cannot_be_fetched() -> None:
@@ -187,7 +187,7 @@
     make_busy(fixture.placement.load(first.backend, FETCHING), 1.0)
     second = fixture.ask(shared_catalogue_prompt("b"), 0.0)
     assert isinstance(second, Placed)
-    assert second.reading == PromptReading(7_000)
+    assert second.reading == PrefillPlan(7_000)
 
 
 def test_a_run_that_ends_before_its_prompt_is_read_leaves_nothing_to_fetch() -> None:
@@ -218,7 +218,7 @@
     make_busy(fixture.placement.load(first.backend, TRAITS), 1.0)
     second = fixture.ask(shared_catalogue_prompt("b"), 0.0)
     assert isinstance(second, Placed)
-    assert second.reading == PromptReading(7_000)
+    assert second.reading == PrefillPlan(7_000)
 
 
 @pytest.mark.parametrize(("urgency", "taken"), [(0, 48), (1, 47), (3, 45), (9, 42)])
@@ -229,7 +229,7 @@
     traits = replace(TRAITS, slots=48, memory_tokens=1_000_000)
     load = EngineLoad("i-1", SERVICE, traits)
     while load.fits(prompt(300), urgency):
-        load.begin(str(load.running), prompt(300), PromptReading(300), 0.0)
+        load.begin(str(load.running), prompt(300), PrefillPlan(300), 0.0)
     assert load.running == taken
 
 
@@ -274,84 +274,88 @@
     While the latency target leaves time, they are sent one after another."""
     fixture = EngineFixture(count=1)
     asked = sensitive_prompt(1_500, "a")
-    question = PlacementQuestion(SERVICE, asked, 0.8, shortest_pause=0.12, may_wait=True)
+    placement_request = PlacementRequest(SERVICE, asked, 0.8, shortest_pause=0.12, may_wait=True)
     load = fixture.placement.load(fixture.engines[0], TRAITS)
 
-    def place(question: PlacementQuestion, now: float) -> Placed | NoRoom:
-        return fixture.placement.place(question, fixture.engines, TRAITS, now)
+    def place(placement_request: PlacementRequest, now: float) -> Placed | NotPlaced:
+        return fixture.placement.place(placement_request, fixture.engines, TRAITS, now)
 
-    assert isinstance(place(question, 0.0), Placed)
-    load.begin("1", sensitive_prompt(2_600, "b"), PromptReading(2_600), 0.0, 0)
-    assert isinstance(place(question, 0.0), NoRoom)
-    assert isinstance(place(replace(question, may_wait=False), 0.0), Placed)
+    assert isinstance(place(placement_request, 0.0), Placed)
+    load.begin("1", sensitive_prompt(2_600, "b"), PrefillPlan(2_600), 0.0, 0)
+    assert isinstance(place(placement_request, 0.0), NotPlaced)
+    assert isinstance(place(replace(placement_request, may_wait=False), 0.0), Placed)
     load.first_event("1", 0.05)
     # Prefill that has just finished and prefill that comes next lie in the same pause.
-    assert isinstance(place(question, 0.06), NoRoom)
-    assert isinstance(place(question, 0.13), Placed)
+    assert isinstance(place(placement_request, 0.06), NotPlaced)
+    assert isinstance(place(placement_request, 0.13), Placed)
 
 
 def test_long_prompts_join_notes_only_within_their_pause_target() -> None:
     fixture = EngineFixture(count=2)
     fixture.placement.count_arrival(
-        PlacementQuestion(SERVICE, sensitive_prompt(1_000, "n"), 0.8), 0.0
+        PlacementRequest(SERVICE, sensitive_prompt(1_000, "n"), 0.8), 0.0
     )
-    fixture.placement.count_arrival(PlacementQuestion(SERVICE, prompt(9_000), 0.8), 0.0)
+    fixture.placement.count_arrival(PlacementRequest(SERVICE, prompt(9_000), 0.8), 0.0)
     short, long = fixture.placement.lanes(SERVICE).split(
         fixture.engines, SERVICE, TRAITS.slots, 0.0
     )
     make_busy(fixture.placement.load(long[0], TRAITS), 5.0)
 
-    def place(tokens: int) -> Placed | NoRoom:
+    def place(tokens: int) -> Placed | NotPlaced:
         asked = replace(prompt(tokens, "r"), bears_reading=True)
-        question = PlacementQuestion(SERVICE, asked, 0.8, urgency=2, shortest_pause=0.12)
-        return fixture.placement.place(question, fixture.engines, TRAITS, 0.0)
+        placement_request = PlacementRequest(SERVICE, asked, 0.8, urgency=2, shortest_pause=0.12)
+        return fixture.placement.place(placement_request, fixture.engines, TRAITS, 0.0)
 
     joined = place(2_200)
     assert isinstance(joined, Placed)
     assert joined.backend == short[0]
-    assert isinstance(place(2_600), NoRoom)
+    assert isinstance(place(2_600), NotPlaced)
 
 
-def draft_question(tokens: int, **more: object) -> PlacementQuestion:
+def draft_question(tokens: int, **more: object) -> PlacementRequest:
     asked = replace(prompt(tokens, f"s-{tokens}"), bears_reading=True)
-    question = PlacementQuestion(
+    placement_request = PlacementRequest(
         SERVICE, asked, 0.8, urgency=1, shortest_pause=0.3, pause_target=0.5
     )
-    return replace(question, **more)  # type: ignore[arg-type]
+    return replace(placement_request, **more)  # type: ignore[arg-type]
 
 
 def shrink_budget(fixture: EngineFixture) -> None:
     """Report late streams of long prompts until the prefill budget reaches its minimum."""
     load = fixture.placement.load(fixture.engines[0], TRAITS)
     for number in range(9):
-        load.begin(f"late-{number}", prompt(10, f"l-{number}"), PromptReading(10), -9.0, 1)
+        load.begin(f"late-{number}", prompt(10, f"l-{number}"), PrefillPlan(10), -9.0, 1)
         fixture.placement.pause_exceeded(fixture.engines[0].id, f"late-{number}", 0.0)
         load.end(f"late-{number}", 0.0)
 
 
-def place_with_pending_prefill(planned: float, question: PlacementQuestion) -> Placed | NoRoom:
+def place_with_pending_prefill(
+    planned: float, placement_request: PlacementRequest
+) -> Placed | NotPlaced:
     """Place a long prompt on an engine that has some seconds of pending prefill."""
     fixture = EngineFixture(count=1)
     shrink_budget(fixture)
     make_busy(fixture.placement.load(fixture.engines[0], TRAITS), planned)
-    return fixture.placement.place(question, fixture.engines, TRAITS, 0.0)
+    return fixture.placement.place(placement_request, fixture.engines, TRAITS, 0.0)
 
 
 def test_a_long_prompt_waits_for_an_engine_within_the_prefill_budget() -> None:
     """Guards against engines that prefill continuously and make every event late."""
     budget = MINIMUM_FRACTION * 0.5
     tokens = round(0.1 * INITIAL_TOKENS_PER_SECOND)
-    question = draft_question(tokens, may_wait=True)
-    assert isinstance(place_with_pending_prefill(budget - 0.12, question), Placed)
-    assert isinstance(place_with_pending_prefill(budget - 0.08, question), NoRoom)
+    placement_request = draft_question(tokens, may_wait=True)
+    assert isinstance(place_with_pending_prefill(budget - 0.12, placement_request), Placed)
+    assert isinstance(place_with_pending_prefill(budget - 0.08, placement_request), NotPlaced)
 
 
 def test_prefill_is_unlimited_until_a_stream_is_late() -> None:
     """Guards against prompts that wait although no stream is affected by the prefill."""
     fixture = EngineFixture(count=1)
     make_busy(fixture.placement.load(fixture.engines[0], TRAITS), 0.6)
-    question = draft_question(400, latency_target=5.0, may_wait=True)
-    assert isinstance(fixture.placement.place(question, fixture.engines, TRAITS, 0.0), Placed)
+    placement_request = draft_question(400, latency_target=5.0, may_wait=True)
+    assert isinstance(
+        fixture.placement.place(placement_request, fixture.engines, TRAITS, 0.0), Placed
+    )
 
 
 def test_a_prompt_larger_than_the_budget_can_be_placed() -> None:
@@ -360,22 +364,24 @@
     tokens = round(2 * budget * INITIAL_TOKENS_PER_SECOND)
     large = draft_question(tokens, latency_target=5.0, may_wait=True)
     assert isinstance(place_with_pending_prefill(0.3 * budget, large), Placed)
-    assert isinstance(place_with_pending_prefill(0.9 * budget, large), NoRoom)
+    assert isinstance(place_with_pending_prefill(0.9 * budget, large), NotPlaced)
 
 
 def test_the_bound_on_pending_prefill_excludes_no_valid_placement() -> None:
     """Guards against requests that wait although an engine could take them."""
     for planned in (0.0, 0.1, 0.2, 0.3, 0.4, 0.6):
         for tokens in (400, 2_000, 8_000, 30_000):
-            question = draft_question(tokens, latency_target=9.0, may_wait=True)
+            placement_request = draft_question(tokens, latency_target=9.0, may_wait=True)
             fixture = EngineFixture(count=3)
             shrink_budget(fixture)
             for engine in fixture.engines:
                 if planned:
                     make_busy(fixture.placement.load(engine, TRAITS), planned)
-            bound = fixture.placement.least_planned(question, fixture.engines, TRAITS, 0.0)
-            if isinstance(fixture.placement.place(question, fixture.engines, TRAITS, 0.0), Placed):
-                assert bound.may_fit(question, tokens)
+            bound = fixture.placement.least_planned(placement_request, fixture.engines, TRAITS, 0.0)
+            if isinstance(
+                fixture.placement.place(placement_request, fixture.engines, TRAITS, 0.0), Placed
+            ):
+                assert bound.may_fit(placement_request, tokens)
 
 
 def test_equal_engines_are_chosen_by_zone() -> None:
@@ -385,7 +391,7 @@
     zones = ("suva", "nadi", "lautoka")
     spread = [replace(each, zone=zones[n % 3]) for n, each in enumerate(engines(9))]
     for number in range(20):
-        question = PlacementQuestion(SERVICE, prompt(300, f"c-{number}"), 0.4, zone="nadi")
-        found = placement.place(question, spread, TRAITS, 0.0)
+        placement_request = PlacementRequest(SERVICE, prompt(300, f"c-{number}"), 0.4, zone="nadi")
+        found = placement.place(placement_request, spread, TRAITS, 0.0)
         assert isinstance(found, Placed)
         assert found.backend.zone == "nadi"
--- a/packages/ragwortwing-policy/tests/direct/test_rate_limits.py
+++ b/packages/ragwortwing-policy/tests/direct/test_rate_limits.py
@@ -77,12 +77,12 @@
     one, other = RateLimits(), RateLimits()
     one.observe("i-1", 2.0, sent_at=0.0, now=1.0)
     for backend_id, notice in one.notices(1.5).items():
-        other.hear(backend_id, notice, now=100.0)
+        other.update_from_peer(backend_id, notice, now=100.0)
     assert other.rate("i-1") == 2.0
     assert not other.notices(100.0)
     one.observe("i-1", None, sent_at=2.0, now=1.0 + MINIMUM_HOLD_SECONDS)
     for backend_id, notice in one.notices(3.5).items():
-        other.hear(backend_id, notice, now=102.0)
+        other.update_from_peer(backend_id, notice, now=102.0)
     assert other.rate("i-1") is None
 
 
@@ -91,9 +91,9 @@
     limits = RateLimits()
     limits.observe("i-1", 2.0, sent_at=0.0, now=1.0)
     limits.observe("i-1", None, sent_at=1.5, now=1.0 + MINIMUM_HOLD_SECONDS)
-    limits.hear("i-1", LimitNotice(2.0, age=1.5), now=3.5)
+    limits.update_from_peer("i-1", LimitNotice(2.0, age=1.5), now=3.5)
     assert limits.rate("i-1") is None
-    limits.hear("i-1", LimitNotice(2.0, age=0.1), now=3.5)
+    limits.update_from_peer("i-1", LimitNotice(2.0, age=0.1), now=3.5)
     assert limits.rate("i-1") == 2.0
 
 
--- a/packages/ragwortwing-policy/tests/direct/test_run_ledger.py
+++ b/packages/ragwortwing-policy/tests/direct/test_run_ledger.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from ragwortwing_policy.direct.backend_trust import BackendTrust
+from ragwortwing_policy.direct.failure_tracker import FailureTracker
 from ragwortwing_policy.direct.placement import Placement
-from ragwortwing_policy.direct.placement_question import PlacementQuestion
+from ragwortwing_policy.direct.placement_request import PlacementRequest
 from ragwortwing_policy.direct.run_ledger import GRANT_EXPIRY, SENDER_SILENCE, RunLedger, run_key
 from ragwortwing_policy.direct.run_report import WHOLE_INTERVAL, ReportedRun, RunReporter
 
@@ -23,16 +23,16 @@
     def __init__(self, name: str, started: int = 1) -> None:
         self.name = name
         self.placement = Placement()
-        self.trust = BackendTrust()
+        self.failure_tracker = FailureTracker()
         self.load = self.placement.load(ENGINE, TRAITS)
-        self.ledger = RunLedger(self.placement, self.trust, lambda _: (ENGINE, TRAITS))
+        self.ledger = RunLedger(self.placement, self.failure_tracker, lambda _: (ENGINE, TRAITS))
         self.reporter = RunReporter(name, started, POOL)
         self._sent = 0
 
     def send(self, tokens: int, now: float) -> None:
         self._sent += 1
         asked = prompt(tokens)
-        ticket, reading = f"r-{self._sent}", self.load.reading_of(asked)
+        ticket, reading = f"r-{self._sent}", self.load.plan_prefill(asked)
         self.load.begin(ticket, asked, reading, now)
         self.reporter.begin(ReportedRun(ticket, ENGINE.id, asked, reading, 8), now)
 
@@ -99,7 +99,7 @@
     """Guards against an ended run that a delayed older report adds again."""
     sender, receiver = Entry("a"), Entry("b")
     sender.send(500, 0.0)
-    older = sender.reporter.whole_report(0.0)
+    older = sender.reporter.full_report(0.0)
     sender.end(1, 0.1)
     sender.report_to(receiver, 0.1)
     receiver.ledger.take(older, 0.1)
@@ -123,7 +123,7 @@
     before = Entry("a", started=1)
     before.send(20_000, 0.0)
     before.report_to(receiver, 0.0)
-    late = before.reporter.whole_report(0.0)
+    late = before.reporter.full_report(0.0)
     after = Entry("a", started=2)
     after.send(4_000, 1.0)
     after.report_to(receiver, 1.0)
@@ -146,14 +146,14 @@
     sender = Entry("a")
     sender.send(500, 0.0)
     assert len(sender.reporter.report(0.0).runs) == 1
-    assert not sender.reporter.has_news
+    assert not sender.reporter.has_changes
     assert sender.reporter.report(0.1).runs == ()
     assert len(sender.reporter.report(WHOLE_INTERVAL).runs) == 1
 
 
 def grant(scheduler: Entry, sender: Entry, now: float) -> None:
     asked = prompt(500)
-    reading = scheduler.load.reading_of(asked)
+    reading = scheduler.load.plan_prefill(asked)
     scheduler.load.begin(run_key(sender.name, "r-1"), asked, reading, now)
     scheduler.ledger.granted(POOL, sender.name, 1, "r-1", ENGINE.id, now)
 
@@ -183,7 +183,7 @@
     """Guards against a grant that is dropped because its entry's whole report was made just
     before."""
     scheduler, sender = Entry("scheduler"), Entry("a")
-    report = sender.reporter.whole_report(0.0)
+    report = sender.reporter.full_report(0.0)
     grant(scheduler, sender, 0.0)
     scheduler.ledger.take(report, 0.001)
     assert scheduler.load.running == 1
@@ -205,7 +205,7 @@
         sender.send(500, 0.0)
         sender.end(1, 0.1, failed=True)
         sender.report_to(scheduler, 0.1)
-    assert scheduler.trust.is_excluded(ENGINE.id, 0.2)
+    assert scheduler.failure_tracker.is_excluded(ENGINE.id, 0.2)
 
 
 def test_an_engine_that_reads_slowly_stays_busy() -> None:
@@ -228,7 +228,7 @@
     """Guards against chats delayed by the pending prefill of drafts that the engine reads after
     them."""
     load = Entry("a").load
-    load.begin("draft", prompt(20_000), load.reading_of(prompt(20_000)), 0.0, urgency=5)
+    load.begin("draft", prompt(20_000), load.plan_prefill(prompt(20_000)), 0.0, urgency=5)
     assert load.backlog(0.0, urgency=3) == 0.0
     assert load.backlog(0.0, urgency=5) > 0.4
 
@@ -247,21 +247,21 @@
     sender, receiver = Entry("a"), Entry("b")
     sender.send(3_000, 0.0)
     sender.report_to(receiver, 0.0)
-    assert receiver.load.reading_of(prompt(3_000, own="another")).unread_tokens == 2_900
+    assert receiver.load.plan_prefill(prompt(3_000, own="another")).unread_tokens == 2_900
 
 
 def test_a_late_stream_of_another_entry_limits_prefill() -> None:
     """Guards against a scheduler that learns only from the streams of its own callers."""
     sender, receiver = Entry("a"), Entry("b")
-    question = PlacementQuestion(POOL, prompt(500), 0.8, urgency=8, pause_target=0.5)
+    placement_request = PlacementRequest(POOL, prompt(500), 0.8, urgency=8, pause_target=0.5)
     sender.send(500, 0.0)
     sender.report_to(receiver, 0.0)
-    assert receiver.placement.budget_seconds(question, 0.0) is None
+    assert receiver.placement.budget_seconds(placement_request, 0.0) is None
     sender.first_event(1, 0.1)
     sender.reporter.pause_exceeded("r-1")
     sender.report_to(receiver, 0.6)
-    budget = receiver.placement.budget_seconds(question, 0.6)
+    budget = receiver.placement.budget_seconds(placement_request, 0.6)
     assert budget is not None
     sender.reporter.pause_exceeded("r-1")
-    receiver.ledger.take(sender.reporter.whole_report(0.6), 0.6)
-    assert receiver.placement.budget_seconds(question, 0.6) == budget
+    receiver.ledger.take(sender.reporter.full_report(0.6), 0.6)
+    assert receiver.placement.budget_seconds(placement_request, 0.6) == budget
--- a/packages/ragwortwing-policy/tests/direct/test_scheduler_choice.py
+++ b/packages/ragwortwing-policy/tests/direct/test_scheduler_choice.py
@@ -6,7 +6,7 @@
     CHOICE_LIFETIME,
     PEER_SILENCE,
     SETTLED_AFTER,
-    SUSPECTED_FOR,
+    SUSPICION_SECONDS,
     Candidate,
     SchedulerChoice,
 )
@@ -27,7 +27,7 @@
         choice.offer(candidate(own, now))
         for other in range(count):
             if other != own:
-                choice.hear(candidate(other, now))
+                choice.update_from_peer(candidate(other, now))
         choices.append(choice)
     return choices
 
@@ -53,7 +53,7 @@
     choice = SchedulerChoice("entry-0")
     choice.offer(candidate(0, capacity=0.4))
     for number in range(1, 30):
-        choice.hear(candidate(number, capacity=2.1 if number == 7 else 0.4))
+        choice.update_from_peer(candidate(number, capacity=2.1 if number == 7 else 0.4))
     assert choice.scheduler(POOL, 0.0) == "entry-7"
 
 
@@ -65,7 +65,7 @@
     later = PEER_SILENCE + 0.1
     for number in range(20):
         if f"entry-{number}" not in (first, "entry-0"):
-            choice.hear(candidate(number, later))
+            choice.update_from_peer(candidate(number, later))
     second = choice.scheduler(POOL, later)
     assert second != first
     assert second in informed | {"entry-0"}
@@ -78,7 +78,7 @@
     assert first is not None
     choice.suspect(first, 0.0)
     assert choice.scheduler(POOL, 0.1) != first
-    assert choice.scheduler(POOL, SUSPECTED_FOR + CHOICE_LIFETIME) == first
+    assert choice.scheduler(POOL, SUSPICION_SECONDS + CHOICE_LIFETIME) == first
     choice.suspect(first, 1.2)
     choice.answered(first)
     assert choice.scheduler(POOL, 1.3) == first
@@ -93,19 +93,19 @@
     number = int(first.removeprefix("entry-"))
     choice.withdraw(first)
     before = choice.scheduler(POOL, 0.1)
-    choice.hear(candidate(number, 0.2, uptime=0.0))
+    choice.update_from_peer(candidate(number, 0.2, uptime=0.0))
     assert choice.scheduler(POOL, 0.2) == before
     assert first in choice.informed(POOL, 0.2)
     for other in range(4):
         if other != number:
-            choice.hear(candidate(other, SETTLED_AFTER))
-    choice.hear(candidate(number, SETTLED_AFTER + 0.3, uptime=SETTLED_AFTER))
+            choice.update_from_peer(candidate(other, SETTLED_AFTER))
+    choice.update_from_peer(candidate(number, SETTLED_AFTER + 0.3, uptime=SETTLED_AFTER))
     assert choice.scheduler(POOL, SETTLED_AFTER + 0.3) == first
 
 
 def test_a_newly_started_fleet_has_a_scheduler_at_once() -> None:
     choice = SchedulerChoice("entry-0")
-    choice.hear(candidate(1, uptime=0.0))
+    choice.update_from_peer(candidate(1, uptime=0.0))
     assert choice.scheduler(POOL, 0.0) == "entry-1"
 
 
--- a/packages/ragwortwing-policy/tests/test_configuration_log.py
+++ b/packages/ragwortwing-policy/tests/test_configuration_log.py
@@ -12,9 +12,9 @@
     UNCONDITIONAL,
     Accepted,
     Checkpoint,
+    ConfigurationLogState,
     Conflict,
     Entry,
-    FoldState,
     Invalid,
     PresetSwitch,
     Publication,
@@ -39,8 +39,10 @@
     return Publication(f"p{base}", base, preset, document(tier))
 
 
-def fold(entries: list[Entry], state: FoldState | None = None) -> list[FoldState]:
-    states = [state or FoldState()]
+def fold(
+    entries: list[Entry], state: ConfigurationLogState | None = None
+) -> list[ConfigurationLogState]:
+    states = [state or ConfigurationLogState()]
     for offset, entry in enumerate(entries):
         states.append(apply(states[-1], RawRecord(offset, encode_entry(entry))).state)
     return states
@@ -54,7 +56,7 @@
     """
     *_, state = fold([publication(NO_REVISION), PresetSwitch("a", 0, "peak")])
     step = apply(state, RawRecord(2, encode_entry(publication(0, tier=5))))
-    assert step.judged[0].verdict == Conflict(0, 1, "peak")
+    assert step.evaluated[0].verdict == Conflict(0, 1, "peak")
     assert step.state.configuration == state.configuration
 
 
@@ -63,18 +65,20 @@
     *_, state = fold([publication(NO_REVISION)])
     for entry in (PresetSwitch("a", 0, "nope"), publication(0, tier=99), publication(0, "nope")):
         step = apply(state, RawRecord(1, encode_entry(entry)))
-        assert isinstance(step.judged[0].verdict, Invalid)
+        assert isinstance(step.evaluated[0].verdict, Invalid)
         assert step.state.revision == 0
     step = apply(state, RawRecord(1, b"\xff"))
-    assert isinstance(step.judged[0].verdict, Invalid)
-    first = apply(FoldState(), RawRecord(0, encode_entry(PresetSwitch("a", NO_REVISION, "peak"))))
-    assert isinstance(first.judged[0].verdict, Invalid)
+    assert isinstance(step.evaluated[0].verdict, Invalid)
+    first = apply(
+        ConfigurationLogState(), RawRecord(0, encode_entry(PresetSwitch("a", NO_REVISION, "peak")))
+    )
+    assert isinstance(first.evaluated[0].verdict, Invalid)
 
 
 @st.composite
 def streams(draw: st.DrawFn) -> list[Entry]:
     """Generate a stream with records of racing operators and of checkpoint writers."""
-    states = [FoldState()]
+    states = [ConfigurationLogState()]
     entries: list[Entry] = []
     for offset in range(draw(st.integers(1, 14))):
         seen = draw(st.sampled_from(states))
@@ -97,16 +101,16 @@
 @DETERMINISTIC
 @given(streams())
 def test_revisions_increase_and_a_base_has_one_successor(entries: list[Entry]) -> None:
-    state = FoldState()
+    state = ConfigurationLogState()
     winners: set[int | None] = set()
     for offset, entry in enumerate(entries):
         step = apply(state, RawRecord(offset, encode_entry(entry)))
         assert step.state.revision >= state.revision
-        for judged in step.judged:
-            if isinstance(judged.verdict, Accepted) and isinstance(
-                judged.entry, (Publication, PresetSwitch)
+        for evaluated in step.evaluated:
+            if isinstance(evaluated.verdict, Accepted) and isinstance(
+                evaluated.entry, (Publication, PresetSwitch)
             ):
-                base = judged.entry.base
+                base = evaluated.entry.base
                 assert base is UNCONDITIONAL or base not in winners
                 winners.add(base)
         state = step.state
@@ -141,7 +145,7 @@
     checkpoint = checkpoint_of(states[-1], "c", 0.0)
     assert checkpoint is not None
     switch = PresetSwitch("s", 0, "peak")
-    state = apply(FoldState(), RawRecord(1, encode_entry(switch))).state
+    state = apply(ConfigurationLogState(), RawRecord(1, encode_entry(switch))).state
     assert state.configuration is None
     state = apply(state, RawRecord(2, encode_entry(checkpoint))).state
     assert state.complete
@@ -170,4 +174,4 @@
     *_, state = fold([first, PresetSwitch("a", 0, "peak")])
     again = apply(state, RawRecord(0, encode_entry(first)))
     assert again.state == state
-    assert not again.judged
+    assert not again.evaluated
--- a/packages/ragwortwing-policy/tests/test_dispatch.py
+++ b/packages/ragwortwing-policy/tests/test_dispatch.py
@@ -9,12 +9,12 @@
 
 from ragwortwing_policy.dispatch import (
     WIDEN_AFTER,
-    Ask,
+    CancelAtAgent,
     Conclude,
     Dispatch,
     DispatchDecision,
+    RequestReservation,
     SendBody,
-    WithdrawFrom,
 )
 from ragwortwing_policy.outcomes import (
     Completed,
@@ -53,7 +53,7 @@
 
 
 def asked(decisions: list[DispatchDecision]) -> list[str]:
-    return [each.agent_id for each in decisions if isinstance(each, Ask)]
+    return [each.agent_id for each in decisions if isinstance(each, RequestReservation)]
 
 
 def outcome(decisions: list[DispatchDecision]) -> object:
@@ -71,8 +71,8 @@
 def test_body_is_sent_to_first_grant_and_others_are_withdrawn() -> None:
     request = dispatch(4)
     first, second = asked(request.on_start(0.0))
-    assert request.on_granted(second, 0.1) == [SendBody(second), WithdrawFrom(first)]
-    assert request.on_granted(first, 0.2) == [WithdrawFrom(first)]
+    assert request.on_granted(second, 0.1) == [SendBody(second), CancelAtAgent(first)]
+    assert request.on_granted(first, 0.2) == [CancelAtAgent(first)]
     assert request.on_ended(second, Completed(5), 1.0) == [Conclude(Completed(5))]
     assert request.wake_at is None
 
@@ -107,7 +107,7 @@
     request = dispatch(3)
     first, second = asked(request.on_start(0.0))
     refusal = NotRun(NotRunReason.KEY_REUSED)
-    assert request.on_refused(first, refusal, 0.1) == [WithdrawFrom(second), Conclude(refusal)]
+    assert request.on_refused(first, refusal, 0.1) == [CancelAtAgent(second), Conclude(refusal)]
 
 
 def test_deadline_without_grant_is_reported_as_not_run() -> None:
@@ -136,7 +136,7 @@
     for agent_id, load in zip(others, (free, full), strict=True):
         view = AgentView(agent_id, "suva", BackendKind.ENGINE, frozenset({"m"}), load=load)
         routing.update(view, 0.1)
-    assert request.on_tick(WIDEN_AFTER.total_seconds()) == [Ask(others[0])]
+    assert request.on_tick(WIDEN_AFTER.total_seconds()) == [RequestReservation(others[0])]
 
 
 def test_agent_lost_before_submit_is_replaced() -> None:
@@ -245,7 +245,7 @@
 def test_caller_disconnect_cancels_stream_but_not_order() -> None:
     stream = dispatch(2)
     runner = start_run(stream)
-    assert WithdrawFrom(runner) in stream.on_caller_gone(1.0)
+    assert CancelAtAgent(runner) in stream.on_caller_gone(1.0)
     order = dispatch(2, idempotent=False, kind=BackendKind.SERVICE)
     start_run(order)
     assert order.on_caller_gone(1.0) == [Conclude(Unknown(UnknownReason.TIMEOUT))]
@@ -265,7 +265,7 @@
         assert request.wake_at is not None
         assert request.wake_at < 10.0
         decisions = request.on_tick(request.wake_at)
-    assert decisions[0] == WithdrawFrom(frozen_agent)
+    assert decisions[0] == CancelAtAgent(frozen_agent)
     assert asked(decisions)
 
 
--- a/packages/ragwortwing-policy/tests/test_membership.py
+++ b/packages/ragwortwing-policy/tests/test_membership.py
@@ -36,7 +36,7 @@
     """Guards against new work at an agent that is leaving, by list, announcement or removal."""
     by_list, by_agent, by_removal = serving(), serving(), serving()
     by_list.set_list([LEAVING])
-    by_agent.said_leaving("agent-1/a")
+    by_agent.leaving_announced("agent-1/a")
     by_removal.set_list([])
     for membership in (by_list, by_agent, by_removal):
         assert membership.state_of("agent-1/a") is MemberState.DRAINING
@@ -58,7 +58,7 @@
     membership.set_list([])
     membership.set_list([LIVE])
     assert membership.takes_new_work("agent-1/a")
-    membership.said_leaving("agent-1/a")
+    membership.leaving_announced("agent-1/a")
     membership.set_list([LIVE])
     assert not membership.takes_new_work("agent-1/a")
 
@@ -109,7 +109,7 @@
             agent_id = f"id{values[0]}-0"
             if connected.get("a0") == agent_id:
                 announced.add(agent_id)
-            changes = membership.said_leaving(agent_id)
+            changes = membership.leaving_announced(agent_id)
         ends = {each.agent_id for each in changes if each.state is MemberState.GONE}
         final |= {each for each in ends if each in announced or kind == "connect"}
         assert live <= membership.addresses
--- a/packages/ragwortwing-policy/tests/test_order_claims.py
+++ b/packages/ragwortwing-policy/tests/test_order_claims.py
@@ -49,18 +49,18 @@
     ledger = OrderLedger()
     first, repeat = Claim("a", KEY, b"d"), Claim("b", KEY, b"d")
     ledger.apply(0, batch(first, repeat))
-    assert ledger.judge(first) == Won("a", KEY)
-    assert ledger.judge(repeat) == AlreadyClaimed("a")
-    assert ledger.judge(Claim("c", KEY, b"other")) == KeyReused()
+    assert ledger.verdict_on(first) == Won("a", KEY)
+    assert ledger.verdict_on(repeat) == AlreadyClaimed("a")
+    assert ledger.verdict_on(Claim("c", KEY, b"other")) == KeyReused()
     settled = encode_batch(
         ClaimBatch("desk-1", 0.0, (), (settlement_of("a", KEY, Completed(), 201, b"x"),))
     )
     ledger.apply(1, settled)
-    assert ledger.judge(repeat) == AlreadySettled(RecordedAnswer(Completed(), 201, b"x"))
+    assert ledger.verdict_on(repeat) == AlreadySettled(RecordedAnswer(Completed(), 201, b"x"))
     # A release after the outcome, or by a losing claim, does not release the key.
     ledger.apply(2, release("a"))
     ledger.apply(3, release("b"))
-    assert isinstance(ledger.judge(repeat), AlreadySettled)
+    assert isinstance(ledger.verdict_on(repeat), AlreadySettled)
 
 
 def test_only_the_winner_can_release_a_key() -> None:
@@ -68,9 +68,9 @@
     ledger = OrderLedger()
     ledger.apply(0, batch(Claim("a", KEY, b"d")))
     ledger.apply(1, release("b"))
-    assert ledger.judge(Claim("a", KEY, b"d")) == Won("a", KEY)
+    assert ledger.verdict_on(Claim("a", KEY, b"d")) == Won("a", KEY)
     ledger.apply(2, release("a"))
-    assert ledger.judge(Claim("a", KEY, b"d")) is None
+    assert ledger.verdict_on(Claim("a", KEY, b"d")) is None
 
 
 def test_admission_uses_newest_time_in_log() -> None:
@@ -116,7 +116,9 @@
     current_winner: str | None = None
     for offset, payload in enumerate(payloads):
         whole.apply(offset, payload)
-        winners = [n for n in range(6) if whole.judge(Claim(str(n), KEY, b"d")) == Won(str(n), KEY)]
+        winners = [
+            n for n in range(6) if whole.verdict_on(Claim(str(n), KEY, b"d")) == Won(str(n), KEY)
+        ]
         assert len(winners) <= 1
         claim, released = records[offset]
         if current_winner is not None and not (released and str(claim) == current_winner):
--- a/packages/ragwortwing-policy/tests/test_retries.py
+++ b/packages/ragwortwing-policy/tests/test_retries.py
@@ -15,12 +15,12 @@
 )
 from ragwortwing_policy.retries import (
     MAXIMUM_RUNS,
-    GiveUp,
     Interruption,
     Resume,
     RetryBudget,
     RetrySettings,
     RunAgain,
+    StopRetrying,
     decide_after_loss,
     decide_after_outcome,
 )
@@ -34,16 +34,16 @@
 @pytest.mark.parametrize(
     ("interruption", "expected"),
     [
-        (Interruption(SERVICE, False, 1, 10.0, False), GiveUp(LOST_UNKNOWN)),
-        (Interruption(ENGINE, False, 1, 10.0, True), GiveUp(LOST_UNKNOWN)),
+        (Interruption(SERVICE, False, 1, 10.0, False), StopRetrying(LOST_UNKNOWN)),
+        (Interruption(ENGINE, False, 1, 10.0, True), StopRetrying(LOST_UNKNOWN)),
         (Interruption(SERVICE, True, 1, 10.0, False), RunAgain()),
-        (Interruption(SERVICE, True, 1, 10.0, True), GiveUp(LOST_MID_STREAM)),
-        (Interruption(SERVICE, True, 1, 1.0, False), GiveUp(LOST_UNKNOWN)),
+        (Interruption(SERVICE, True, 1, 10.0, True), StopRetrying(LOST_MID_STREAM)),
+        (Interruption(SERVICE, True, 1, 1.0, False), StopRetrying(LOST_UNKNOWN)),
         (Interruption(ENGINE, True, 1, 10.0, False), RunAgain()),
         (Interruption(ENGINE, True, 1, 60.0, True), Resume(60.0)),
         (Interruption(ENGINE, True, 1, 1.0, True), Resume(21.0)),
-        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, True), GiveUp(LOST_MID_STREAM)),
-        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, False), GiveUp(LOST_UNKNOWN)),
+        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, True), StopRetrying(LOST_MID_STREAM)),
+        (Interruption(ENGINE, True, MAXIMUM_RUNS, 60.0, False), StopRetrying(LOST_UNKNOWN)),
     ],
 )
 def test_decision_after_loss(interruption: Interruption, expected: object) -> None:
@@ -61,7 +61,7 @@
 def test_order_is_retried_only_if_not_run(outcome: Outcome, repeated: bool) -> None:
     order = Interruption(SERVICE, False, 1, 10.0, False)
     decision = decide_after_outcome(outcome, order, RetryBudget(), now=1.0)
-    assert decision == (RunAgain() if repeated else GiveUp(outcome))
+    assert decision == (RunAgain() if repeated else StopRetrying(outcome))
 
 
 def test_retries_are_limited_to_share_of_successes() -> None:
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/app.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/app.py
@@ -25,7 +25,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 """Signals that request a graceful shutdown."""
 
-CUT_EXIT_CODE = 3
+ABORTED_REQUESTS_EXIT_CODE = 3
 """Exit code when the shutdown aborted requests in flight."""
 
 
@@ -117,7 +117,7 @@
                     await self.unmount()
                 self.phase = Phase.STOPPED
             nursery.cancel_scope.cancel()
-        return CUT_EXIT_CODE if aborted else 0
+        return ABORTED_REQUESTS_EXIT_CODE if aborted else 0
 
     async def run_with_signals(self) -> int:
         """Run as the only application of the process; the stop signals request its shutdown."""
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/bounded_logs.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/bounded_logs.py
@@ -37,7 +37,7 @@
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
         super().__init__(level=logbook.INFO)
-        self.left_out = 0
+        self.dropped_lines = 0
         self._process = process
         self._descriptor = descriptor
         self._lines_per_second = lines_per_second
@@ -71,7 +71,7 @@
         return self._lines_in_second <= self._lines_per_second
 
     def _drop_line(self) -> None:
-        self.left_out += 1
+        self.dropped_lines += 1
         self._unreported_lines += 1
 
     def _append(self, fields: dict[str, Any]) -> None:
