--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_feed.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_feed.py
@@ -12,8 +12,8 @@
 from ragwortwing_policy.configuration_log import (
     Accepted,
     Checkpoint,
-    FoldState,
-    Judged,
+    ConfigurationLogState,
+    EvaluatedRecord,
     Publication,
     RawRecord,
     apply,
@@ -78,7 +78,7 @@
         self._checkpoint_interval = checkpoint_interval
         self._checkpoint_interval_factor = 1.0 + random.random() * CHECKPOINT_JITTER
         self._backoff = Backoff(random)
-        self._state = FoldState()
+        self._state = ConfigurationLogState()
         self._retained: deque[ConfigurationRecord] = deque()
         self._full_state_written_at = 0.0
         self._changed = trio.Event()
@@ -96,7 +96,7 @@
         return self._state.revision
 
     @property
-    def state(self) -> FoldState:
+    def state(self) -> ConfigurationLogState:
         """Return the state computed from the records read so far."""
         return self._state
 
@@ -142,7 +142,7 @@
         """
         return tuple(each for each in self._retained if each.offset >= offset)
 
-    def take_peer_records(self, records: Iterable[ConfigurationRecord]) -> bool:
+    def apply_peer_records(self, records: Iterable[ConfigurationRecord]) -> bool:
         """Apply records received from a peer as if they had been read from the log.
 
         Returns:
@@ -181,16 +181,16 @@
         step = apply(self._state, RawRecord(record.offset, record.payload))
         self._state = step.state
         self._retained.append(record)
-        for judged in step.judged:
-            self._note_full_state(judged)
+        for evaluated in step.evaluated:
+            self._note_full_state(evaluated)
         if self._state.revision > previous_revision:
             changed, self._changed = self._changed, trio.Event()
             changed.set()
 
-    def _note_full_state(self, judged: Judged) -> None:
+    def _note_full_state(self, evaluated: EvaluatedRecord) -> None:
         """Update the time of the newest full state, and drop records that a checkpoint covers."""
-        entry = judged.entry
-        if isinstance(entry, Publication) and isinstance(judged.verdict, Accepted):
+        entry = evaluated.entry
+        if isinstance(entry, Publication) and isinstance(evaluated.verdict, Accepted):
             self._full_state_written_at = max(self._full_state_written_at, entry.published_at)
         elif isinstance(entry, Checkpoint) and self._state.complete:
             self._full_state_written_at = max(self._full_state_written_at, entry.written_at)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_publisher.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/configuration_publisher.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from ragwortwing_policy.configuration_log import (
-    FoldState,
-    Judged,
+    ConfigurationLogState,
+    EvaluatedRecord,
     PresetSwitch,
     Publication,
     RawRecord,
@@ -80,17 +80,17 @@
         self._operator = operator
         self._read_back_timeout = read_back_timeout
         self._stream = stream
-        self._state = FoldState()
-        self._judged_by_offset: dict[int, Judged] = {}
+        self._state = ConfigurationLogState()
+        self._judged_by_offset: dict[int, EvaluatedRecord] = {}
         self._documents_by_revision: dict[int, Mapping[str, Any]] = {}
 
     @property
-    def state(self) -> FoldState:
+    def state(self) -> ConfigurationLogState:
         """Return the state computed from the records read so far."""
         return self._state
 
     @property
-    def history(self) -> tuple[Judged, ...]:
+    def history(self) -> tuple[EvaluatedRecord, ...]:
         """Return the evaluated records that were read from the log, oldest first."""
         return tuple(self._judged_by_offset[offset] for offset in sorted(self._judged_by_offset))
 
@@ -150,23 +150,23 @@
         if isinstance(result, LogUnavailable):
             return result
         deadline = self._clock.monotonic() + self._read_back_timeout.total_seconds()
-        judged = await self._read_back(record_id, result, deadline)
-        if judged is None:
+        evaluated = await self._read_back(record_id, result, deadline)
+        if evaluated is None:
             return PublishUnknown(record_id)
-        return StateLost() if isinstance(judged.verdict, Unjudged) else judged.verdict
+        return StateLost() if isinstance(evaluated.verdict, Unjudged) else evaluated.verdict
 
     async def _read_back(
         self, record_id: str, appended: AppendResult, deadline: Instant
-    ) -> Judged | None:
+    ) -> EvaluatedRecord | None:
         """Read on until the publisher's own record is evaluated; return None if it is not found.
 
         After a lost reply the record may be in the log already, appear later, or never. Only
         reading the log shows which. A second append could make one publication take effect twice.
         """
         while self._clock.monotonic() < deadline:
-            for judged in self._judged_by_offset.values():
-                if judged.entry is not None and judged.entry.record_id == record_id:
-                    return judged
+            for evaluated in self._judged_by_offset.values():
+                if evaluated.entry is not None and evaluated.entry.record_id == record_id:
+                    return evaluated
             if isinstance(appended, Appended) and self._state.position > appended.offset:
                 return None
             result = await self._log.read(self._stream, self._state.position, wait=READ_WAIT)
@@ -180,8 +180,8 @@
     def _fold(self, record: RawRecord) -> None:
         step = apply(self._state, record)
         self._state = step.state
-        for judged in step.judged:
-            self._judged_by_offset[judged.offset] = judged
+        for evaluated in step.evaluated:
+            self._judged_by_offset[evaluated.offset] = evaluated
         if self._state.document is not None:
             self._documents_by_revision[self._state.revision] = self._state.document
 
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/fencing.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/fencing.py
@@ -33,7 +33,7 @@
     """Wall-clock time in seconds since the epoch. Only for people who inspect the stream."""
 
 
-async def take_fencing_number(
+async def acquire_fencing_number(
     log: Log, clock: Clock, random: Random, agent_id: str, zone: str
 ) -> int:
     """Append the agent's start record and return its offset.
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/order_book.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/order_book.py
@@ -145,7 +145,7 @@
         order_key = OrderKey(order.account, order.key)
         while True:
             claim = Claim(uuid.uuid4().hex, order_key, order.body_digest, order.order_time)
-            known_verdict = self._ledger.judge(claim)
+            known_verdict = self._ledger.verdict_on(claim)
             verdict = known_verdict or await self._append_and_wait(claim, send_deadline)
             match verdict:
                 case Won():
@@ -340,7 +340,7 @@
         self._ledger.forget_before(page.first_offset)
 
     def _resolve_own_claim(self, claim: Claim) -> None:
-        verdict = self._ledger.judge(claim)
+        verdict = self._ledger.verdict_on(claim)
         waiter = self._waiters_by_claim_id.get(claim.claim_id)
         if waiter is not None and verdict is not None:
             waiter.resolve(verdict)
--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/tcp_sockets.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/tcp_sockets.py
@@ -28,7 +28,7 @@
 """Maximum number of bytes read from a socket at once."""
 
 
-def prepare(sock: trio.socket.SocketType) -> None:
+def set_socket_options(sock: trio.socket.SocketType) -> None:
     """Set the socket options that all connections use."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -46,7 +46,7 @@
     """
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        prepare(sock)
+        set_socket_options(sock)
         await sock.connect((host, port))
     except BaseException:
         sock.close()
@@ -77,7 +77,7 @@
         sent += await sock.send(view[sent:])
 
 
-def is_quiet(sock: trio.socket.SocketType) -> bool:
+def has_no_pending_input(sock: trio.socket.SocketType) -> bool:
     """Return whether an idle connection has no unread data, end of stream or error."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN | select.POLLERR | select.POLLHUP)
--- a/packages/ragwortwing-runtime/tests/test_bounded_logs.py
+++ b/packages/ragwortwing-runtime/tests/test_bounded_logs.py
@@ -47,7 +47,7 @@
     lines = pipe.lines()
     assert [line["message"] for line in lines[:10]] == ["happened"] * 10
     assert [line["message"] for line in lines[10:]] == ["lines_left_out", "always logged", "later"]
-    assert lines[10]["lines"] == handler.left_out == 15
+    assert lines[10]["lines"] == handler.dropped_lines == 15
 
 
 def test_a_stalled_reader_does_not_block_the_process() -> None:
@@ -58,7 +58,7 @@
     with handler.applicationbound():
         for number in range(4_000):
             log.warning("happened", text="x" * 500, number=number)
-        assert handler.left_out > 0
+        assert handler.dropped_lines > 0
         kept = pipe.lines()
         log.warning("read again")
         kept += pipe.lines()
--- a/packages/ragwortwing-runtime/tests/test_configuration_feed.py
+++ b/packages/ragwortwing-runtime/tests/test_configuration_feed.py
@@ -91,7 +91,7 @@
         async with running_feed(address) as fresh:
             assert fresh.current is None
             assert not fresh.log_reachable
-            assert fresh.take_peer_records(peer.records_from(fresh.state.position))
+            assert fresh.apply_peer_records(peer.records_from(fresh.state.position))
             assert fresh.current == peer.current
             standin.faults.clear()
             switch(standin.log, 1, "ordinary")
@@ -126,11 +126,11 @@
         switch(standin.log, 0, "peak")
         switch(standin.log, 1, "ordinary")
         assert await peer.catch_up()
-        assert not feed.take_peer_records(peer.records_from(2))
+        assert not feed.apply_peer_records(peer.records_from(2))
         assert feed.state.position == 1
-        assert feed.take_peer_records(peer.records_from(0))
+        assert feed.apply_peer_records(peer.records_from(0))
         assert feed.revision == 2
-        assert not feed.take_peer_records(peer.records_from(0)[:1])
+        assert not feed.apply_peer_records(peer.records_from(0)[:1])
         assert feed.revision == 2
 
 
--- a/packages/ragwortwing-runtime/tests/test_fencing.py
+++ b/packages/ragwortwing-runtime/tests/test_fencing.py
@@ -9,7 +9,7 @@
 
 from ragwortwing_lab.standins.in_memory import InMemoryLog, LogFaults, TrioClock
 from ragwortwing_lab.standins.record_log import RecordLog
-from ragwortwing_runtime.fencing import take_fencing_number
+from ragwortwing_runtime.fencing import acquire_fencing_number
 
 
 def test_numbers_increase_when_appends_fail() -> None:
@@ -19,7 +19,7 @@
             faults = LogFaults(refused=0.2, reply_lost=0.2, late=0.2, dropped=0.2)
             log = InMemoryLog(RecordLog(clock), Random(3), nursery, faults=faults)
             numbers = [
-                await take_fencing_number(log, clock, Random(1), f"agent-1/{index}", "suva")
+                await acquire_fencing_number(log, clock, Random(1), f"agent-1/{index}", "suva")
                 for index in range(20)
             ]
             nursery.cancel_scope.cancel()
--- a/packages/ragwortwing-wire/src/ragwortwing_wire/connection.py
+++ b/packages/ragwortwing-wire/src/ragwortwing_wire/connection.py
@@ -132,7 +132,7 @@
             await self._progress.wait()
         self._check_open()
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Queue a heartbeat ahead of other messages, to report a new load or a planned stop."""
         if self.closed is not None:
             return
@@ -214,7 +214,7 @@
                 await self.close(CloseReason.SILENT)
                 return
             if self._writing_since is None:
-                self.beat()
+                self.send_heartbeat()
 
     async def _receive(self) -> Message | None:
         while self.closed is None:
--- a/tests/agent_harness.py
+++ b/tests/agent_harness.py
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class FixedSource:
+class StaticConfigurationFeed:
     """Configuration feed with one fixed configuration, available from the start."""
 
     current: Configuration | None = CONFIGURATION
@@ -297,7 +297,7 @@
         backend = await nursery.start(serve)
         settings = agent_settings(backend, kind, **tables)
         client = BackendClient(settings.backend)
-        source = source or FixedSource()
+        source = source or StaticConfigurationFeed()
         agent_id = new_agent_id("agent-1")
         app = AgentApp(settings, client, source, members, orders, None, agent_id)
         wire: list[str] = []
--- a/tests/entry_bench.py
+++ b/tests/entry_bench.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from ragwortwing_entry.accounts import digest_of_key
+from ragwortwing_entry.accounts import hash_api_key
 from ragwortwing_entry.entry_app import EntryApp
 from ragwortwing_policy.configuration import (
     ClassOverride,
@@ -23,7 +23,7 @@
     Service,
     ServiceRoute,
 )
-from ragwortwing_policy.configuration_log import FoldState
+from ragwortwing_policy.configuration_log import ConfigurationLogState
 from ragwortwing_policy.outcomes import Completed, Outcome
 from ragwortwing_policy.routing import BackendKind
 from ragwortwing_runtime.members import Member, MemberRole, Members, MemberState
@@ -64,8 +64,8 @@
         "order": RequestClass("order", tier=0, deadline=timedelta(seconds=20)),
     },
     accounts_by_name={
-        "suva": ClientAccount("suva", (digest_of_key(KEY),), ("chat", "order")),
-        "nadi": ClientAccount("nadi", (digest_of_key(b"nadi-key"),), ("chat",)),
+        "suva": ClientAccount("suva", (hash_api_key(KEY),), ("chat", "order")),
+        "nadi": ClientAccount("nadi", (hash_api_key(b"nadi-key"),), ("chat",)),
     },
     models_by_name={"writer": Model("writer")},
     services_by_name={
@@ -90,14 +90,14 @@
     """Configuration feed whose content the test sets."""
 
     current: Configuration | None = CONFIGURATION
-    state: FoldState = field(default_factory=FoldState)
+    state: ConfigurationLogState = field(default_factory=ConfigurationLogState)
     records: tuple[Any, ...] = ()
     taken: list[Any] = field(default_factory=list)
 
     def records_from(self, offset: int) -> tuple[Any, ...]:
         return tuple(each for each in self.records if each.offset >= offset)
 
-    def take_peer_records(self, records: Any) -> bool:
+    def apply_peer_records(self, records: Any) -> bool:
         self.taken.extend(records)
         return True
 
--- a/tests/test_configuration_survives.py
+++ b/tests/test_configuration_survives.py
@@ -71,7 +71,7 @@
         await site.fault("store", "records_outage")
         for name in ("entry-0", "agent-engine-0"):
             site.process_by_name[name].kill()
-            await site.process_by_name[name].wait_dead()
+            await site.process_by_name[name].wait_exited()
         await site.start_agent("engine", 0)
         await site.start_entry(0)
         await wait_until_async(known_everywhere)
--- a/tests/test_orders_at_most_once.py
+++ b/tests/test_orders_at_most_once.py
@@ -86,7 +86,7 @@
         port = int(desk.listen["http"].rpartition(":")[2])
         desk.kill()
         assert (await wait_for_answer(call)).outcome == "unknown"
-        await desk.wait_dead()
+        await desk.wait_exited()
         await callers.site.start_backend("desk", index, port)
         assert (await resubmit_until_resolved(callers, "wedding", entry=1)).outcome == "unknown"
         assert len(executions(callers.site, "desk")) == 1
@@ -148,7 +148,7 @@
         await site.clear("store")
         await trio.sleep(2.5)  # length of the suspension, longer than the heartbeat timeout
         for agent in agents:
-            agent.thaw()
+            agent.unfreeze()
         first = await wait_for_answer(call)
         again = await resubmit_until_resolved(callers, "wedding", entry=1)
         assert len(executions(site, "desk")) <= 1
--- a/tests/test_site_leaves_nothing.py
+++ b/tests/test_site_leaves_nothing.py
@@ -22,9 +22,9 @@
         before = site.process_by_name["proxy-agent-engine-0"]
         agent = site.process_by_name["agent-engine-0"]
         agent.kill()
-        await agent.wait_dead()
+        await agent.wait_exited()
         await site.start_agent("engine", 0)
         assert site.process_by_name["proxy-agent-engine-0"] is not before
         with trio.fail_after(EXIT_TIMEOUT):
-            await before.wait_dead()
+            await before.wait_exited()
     assert before.handle.poll() is not None
