--- a/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/slopes.py
+++ b/packages/ragwortwing-lab/src/ragwortwing_lab/experiments/slopes.py
@@ -88,7 +88,7 @@
 def _round_microseconds(act: Callable[[], object]) -> float:
     calls = 0
     start = process_time()
-    while (elapsed := process_time() - start) < MIN_ROUND_CPU_SECONDS:
+    while (cpu_seconds := process_time() - start) < MIN_ROUND_CPU_SECONDS:
         act()
         calls += 1
-    return elapsed / calls * 1e6
+    return cpu_seconds / calls * 1e6
