--- a/packages/ragwortwing-agent/src/ragwortwing_agent/backend_client.py
+++ b/packages/ragwortwing-agent/src/ragwortwing_agent/backend_client.py
@@ -38,7 +38,7 @@
         b"content-length",
     }
 )
-"""Headers of a single connection, which are not forwarded. The content length is set anew."""
+"""Headers of a single connection, which are not forwarded. The content length is set again."""
 
 DEADLINE_RENEWAL_FRACTION = 0.5
 """Fraction of the idle timeout that passes before the deadline is extended again."""
--- a/packages/ragwortwing-lab/tests/test_burst_replay.py
+++ b/packages/ragwortwing-lab/tests/test_burst_replay.py
@@ -170,7 +170,7 @@
 def test_drafts_get_their_events_in_time_in_a_cold_burst(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against continuous prefill, which makes all streams late or incomplete."""
     bounded = [run_replay(shifted_replay(seed, engines=6)) for seed in SEEDS]
-    monkeypatch.setattr(prefill_budget, "PART_PER_EXCEEDED", 0.0)
+    monkeypatch.setattr(prefill_budget, "FRACTION_PER_LATE_STREAM", 0.0)
     unbounded = [run_replay(shifted_replay(seed, engines=6)) for seed in SEEDS]
     on_time = sum(result["draft"].on_time for result in bounded)
     assert on_time > 1.5 * sum(result["draft"].on_time for result in unbounded)
--- a/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
+++ b/packages/ragwortwing-policy/src/ragwortwing_policy/direct/scheduler_choice.py
@@ -81,7 +81,7 @@
             self._ranked_by_pool.clear()
 
     def suspect(self, peer: str, now: Instant) -> None:
-        """Exclude a peer that did not answer, for SUSPECTED_FOR seconds."""
+        """Exclude a peer that did not answer, for `SUSPICION_SECONDS`."""
         self._suspected_until_by_name[peer] = now + SUSPICION_SECONDS
         self._ranked_by_pool.clear()
 
