--- a/packages/ragwortwing-runtime/src/ragwortwing_runtime/tcp_sockets.py
+++ b/packages/ragwortwing-runtime/src/ragwortwing_runtime/tcp_sockets.py
@@ -77,7 +77,7 @@
         sent += await sock.send(view[sent:])
 
 
-def has_no_pending_input(sock: trio.socket.SocketType) -> bool:
+def is_idle(sock: trio.socket.SocketType) -> bool:
     """Return whether an idle connection has no unread data, end of stream or error."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN | select.POLLERR | select.POLLHUP)
